--- a/src/portpaddle/gateway/exchange_attempt.cpp
+++ b/src/portpaddle/gateway/exchange_attempt.cpp
@@ -43,7 +43,7 @@
     AttemptPlan plan;
     plan.peer = local ? target.upstream->id : target.daemon->id;
     plan.address = local ? target.upstream->address : target.daemon->linkAddress;
-    plan.expectedUpstream = local ? target.upstream->registeredAs : std::string();
+    plan.expectedUpstream = local ? target.upstream->registeredName : std::string();
     plan.connectTimeout = std::min(local ? localConnectTimeout : remoteConnectTimeout, timeLeft());
     plan.timeLeft = timeLeft();
     if (!local) {
@@ -170,8 +170,8 @@
     if (target.upstream && report.connectionBroke) {
         noteBrokenRun(*target.upstream, now);
     }
-    if (target.upstream && report.lifeOver) {
-        gateway_.notices_.lifeOver(target.upstream->id, now);
+    if (target.upstream && report.incarnationEnded) {
+        gateway_.notices_.incarnationEnded(target.upstream->id, now);
     }
     if (!ticket.upstream.empty()) {
         const bool answered = report.end == AttemptEnd::Complete;
--- a/src/portpaddle/gateway/fleet_keeper.cpp
+++ b/src/portpaddle/gateway/fleet_keeper.cpp
@@ -53,7 +53,7 @@
 
 void FleetKeeper::storeUpstream(UpstreamRecord record)
 {
-    const auto known = upstreams_.find(record.registeredAs);
+    const auto known = upstreams_.find(record.registeredName);
     const bool sameLife = known != upstreams_.end() && known->second.record.id == record.id;
     if (sameLife) {
         // Leaving is final for one life: an older record that arrives late must not undo it.
@@ -65,7 +65,7 @@
     if (record.leaving && !record.leavingSince) {
         record.leavingSince = BootClock::now();
     }
-    const std::string name = record.registeredAs;
+    const std::string name = record.registeredName;
     upstreams_[name] = Held<UpstreamRecord>{ std::move(record), std::nullopt };
 }
 
@@ -110,7 +110,7 @@
     const std::lock_guard lock(mutex_);
     std::set<std::string> listed;
     for (UpstreamRecord &record : records) {
-        listed.insert(record.registeredAs);
+        listed.insert(record.registeredName);
         storeUpstream(std::move(record));
     }
     dropUnlisted(upstreams_, listed, now);
--- a/src/portpaddle/gateway/fleet_view.h
+++ b/src/portpaddle/gateway/fleet_view.h
@@ -24,7 +24,7 @@
     /// Names this life; a restarted upstream has another, also where it registers under the name that it had.
     std::string id;
     /// The name under which it registered and answers.
-    std::string registeredAs;
+    std::string registeredName;
     std::string service;
     /// IP:PORT.
     std::string address;
--- a/src/portpaddle/gateway/gateway.cpp
+++ b/src/portpaddle/gateway/gateway.cpp
@@ -221,11 +221,11 @@
 /// tells again once it is.
 const std::string *Gateway::speakerOf(const UpstreamRecord &asked, const AnswerNotice &notice) const
 {
-    if (notice.life.empty() || notice.life == asked.registeredAs) {
+    if (notice.incarnation.empty() || notice.incarnation == asked.registeredName) {
         return &asked.id;
     }
     for (const auto &[id, upstream] : view_->upstreams) {
-        if (upstream.registeredAs == notice.life && upstream.address == asked.address) {
+        if (upstream.registeredName == notice.incarnation && upstream.address == asked.address) {
             return &id;
         }
     }
--- a/src/portpaddle/gateway/upstream_attempt.cpp
+++ b/src/portpaddle/gateway/upstream_attempt.cpp
@@ -231,7 +231,7 @@
             = failure(AttemptEnd::NotRun, ErrorCode::UpstreamFailed, "upstream did not run it, status " + std::to_string(status));
         const std::string_view life = viewOf(fields[names_.answeringUpstream]);
         report.relayedSends = relayedSends;
-        report.lifeOver = status == HttpStatus::misdirected && !life.empty() && life != plan.expectedUpstream;
+        report.incarnationEnded = status == HttpStatus::misdirected && !life.empty() && life != plan.expectedUpstream;
         report.turnedAway = turnedAway;
         // What an upstream asks of this daemon is not what the caller has to keep to.
         if (remote_ || status != HttpStatus::unavailable) {
--- a/src/portpaddle/gateway/upstream_attempt.h
+++ b/src/portpaddle/gateway/upstream_attempt.h
@@ -83,7 +83,7 @@
     /// Nobody listens at the address.
     bool connectionRefused = false;
     /// Another life answered at the address: the one that was asked is gone.
-    bool lifeOver = false;
+    bool incarnationEnded = false;
     /// The target asked for time, whatever became of the request.
     bool turnedAway = false;
     /// Not sent, as the target takes nothing now; the connection was there.
--- a/src/portpaddle/upstream_notices/answer_notice.cpp
+++ b/src/portpaddle/upstream_notices/answer_notice.cpp
@@ -41,7 +41,7 @@
                         std::chrono::system_clock::time_point wall)
 {
     AnswerNotice notice;
-    notice.life = std::string(viewOf(head[names.answeringUpstream]));
+    notice.incarnation = std::string(viewOf(head[names.answeringUpstream]));
     notice.own = !provesNotRun(head, names) && isSigned(head, names);
     notice.limit = readLimit(head, names.upstreamLimit);
     notice.leaving = readLeaving(head, names.upstreamLeaving);
--- a/src/portpaddle/upstream_notices/answer_notice.h
+++ b/src/portpaddle/upstream_notices/answer_notice.h
@@ -21,7 +21,7 @@
 struct AnswerNotice
 {
     /// The name of the life that answers; empty where the head does not tell.
-    std::string life;
+    std::string incarnation;
     /// It proves that the upstream itself gave the answer after it ran the request.
     bool own = false;
     LimitReading limit;
--- a/src/portpaddle/upstream_notices/upstream_notices.cpp
+++ b/src/portpaddle/upstream_notices/upstream_notices.cpp
@@ -36,7 +36,7 @@
         unlisted += listed ? 0 : 1;
         ++entry;
     }
-    if (unlisted > mostUnlistedLives) {
+    if (unlisted > maxUnlistedIncarnations) {
         forgetOldest(view);
     }
 }
@@ -49,7 +49,7 @@
             unlisted.emplace_back(state.knownAt, &upstream);
         }
     }
-    const auto kept = unlisted.end() - static_cast<std::ptrdiff_t>(mostUnlistedLives);
+    const auto kept = unlisted.end() - static_cast<std::ptrdiff_t>(maxUnlistedIncarnations);
     std::nth_element(unlisted.begin(), kept, unlisted.end());
     for (auto oldest = unlisted.begin(); oldest != kept; ++oldest) {
         states_.erase(states_.find(*oldest->second));
@@ -111,7 +111,7 @@
     }
 }
 
-void UpstreamNotices::lifeOver(const std::string &upstream, SteadyTime now)
+void UpstreamNotices::incarnationEnded(const std::string &upstream, SteadyTime now)
 {
     stateOf(upstream, now).stage = Stage::Over;
 }
--- a/src/portpaddle/upstream_notices/upstream_notices.h
+++ b/src/portpaddle/upstream_notices/upstream_notices.h
@@ -19,7 +19,7 @@
 class Metrics;
 
 /// Lives of upstreams that are on no list any more, and of which is remembered that they leave or have ended.
-inline constexpr std::size_t mostUnlistedLives = 10'000;
+inline constexpr std::size_t maxUnlistedIncarnations = 10'000;
 
 /// Belongs to one event loop.
 class UpstreamNotices
@@ -32,7 +32,7 @@
     /// An answer of @p upstream came.
     void answered(const std::string &upstream, const AnswerNotice &notice, SteadyTime now);
     /// Another life answers at its address.
-    void lifeOver(const std::string &upstream, SteadyTime now);
+    void incarnationEnded(const std::string &upstream, SteadyTime now);
     /// A request leaves for @p upstream.
     void sent(const std::string &upstream, SteadyTime now);
     /// Why no new request may be sent to @p upstream now; none where it may.
--- a/tests/gateway/fleet_view_tests.cpp
+++ b/tests/gateway/fleet_view_tests.cpp
@@ -31,7 +31,7 @@
 {
     UpstreamRecord record;
     record.id = id;
-    record.registeredAs = id;
+    record.registeredName = id;
     record.service = "s";
     record.region = "north";
     record.dataCentre = "north-1";
--- a/tests/gateway/notice_book_tests.cpp
+++ b/tests/gateway/notice_book_tests.cpp
@@ -61,7 +61,7 @@
 
 TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, life that is over, takes nothing any more")
 {
-    notices.lifeOver("e", now);
+    notices.incarnationEnded("e", now);
     CHECK(barred("e") == LossReason::Leaving);
     leaves("e");
     CHECK(notices.barredForMovedRun("e", now) == LossReason::Leaving);
@@ -102,15 +102,15 @@
 TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, more lives than there is room for, forget those that are longest out of the view")
 {
     leaves("listed");
-    for (std::size_t life = 0; life < mostUnlistedLives + 500; ++life) {
+    for (std::size_t life = 0; life < maxUnlistedIncarnations + 500; ++life) {
         leaves("e" + std::to_string(life));
         now += 1ms;
     }
     list({ "listed" });
-    CHECK(notices.remembered() == mostUnlistedLives + 1);
+    CHECK(notices.remembered() == maxUnlistedIncarnations + 1);
     CHECK(barred("listed") == LossReason::Leaving);
     CHECK(barred("e0") == LossReason::None);
-    CHECK(barred("e" + std::to_string(mostUnlistedLives + 499)) == LossReason::Leaving);
+    CHECK(barred("e" + std::to_string(maxUnlistedIncarnations + 499)) == LossReason::Leaving);
 }
 
 TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, time that is over for a life out of the view, are forgotten")
--- a/tests/gateway/upstream_lives_tests.cpp
+++ b/tests/gateway/upstream_lives_tests.cpp
@@ -54,7 +54,7 @@
     {
         view = cell.read();
         for (const auto &[id, record] : view->upstreams) {
-            if (record.registeredAs == name) {
+            if (record.registeredName == name) {
                 return &record;
             }
         }
--- a/tests/support/gateway_site.cpp
+++ b/tests/support/gateway_site.cpp
@@ -56,7 +56,7 @@
 {
     UpstreamRecord record;
     record.id = id;
-    record.registeredAs = id;
+    record.registeredName = id;
     record.service = "s";
     record.address = address;
     record.dataCentre = "north-1";
