--- a/src/portpaddle/claims/claim_book.cpp
+++ b/src/portpaddle/claims/claim_book.cpp
@@ -29,9 +29,9 @@
 /// A claim made at the end of a lease's hour still outlives the longest deadline by an hour.
 constexpr Millis sendWindow = 24h;
 
-std::string claimKey(const std::string &organisation, const std::string &service, const std::string &repeatKey)
+std::string claimKey(const std::string &organisation, const std::string &service, const std::string &idempotencyKey)
 {
-    return "portpaddle/claims/" + sha256Hex(fmt::format("{}\n{}\n{}", organisation, service, repeatKey));
+    return "portpaddle/claims/" + sha256Hex(fmt::format("{}\n{}\n{}", organisation, service, idempotencyKey));
 }
 
 std::string claimText(const Claim &claim, const std::string &daemon)
@@ -59,7 +59,7 @@
 {
 }
 
-Result<Claim> ClaimBook::acquire(const std::string &organisation, const std::string &service, const std::string &repeatKey)
+Result<Claim> ClaimBook::acquire(const std::string &organisation, const std::string &service, const std::string &idempotencyKey)
 {
     const Millis askedAt = clock_.monotonic();
     const Result<std::uint64_t> lease = currentLease();
@@ -67,7 +67,7 @@
         return unavailable();
     }
     Claim claim;
-    claim.key = claimKey(organisation, service, repeatKey);
+    claim.key = claimKey(organisation, service, idempotencyKey);
     claim.claimId = fmt::format("{}-{:016x}{:016x}", daemon_, random_.next(), random_.next());
     claim.sendBefore = askedAt + sendWindow;
     const Result<std::uint64_t> written = store_.put(claim.key, claimText(claim, daemon_), mustBeAbsent, valueOf(lease));
--- a/src/portpaddle/claims/claim_book.h
+++ b/src/portpaddle/claims/claim_book.h
@@ -38,9 +38,9 @@
 
     ClaimBook(KeyValueStore &store, const Clock &clock, RandomSource &random, std::string daemon, RanLookup ranElsewhere = {});
 
-    /// Acquires the only claim for @p repeatKey. DuplicateRequest when one exists; ClaimUnavailable when it cannot be proved
+    /// Acquires the only claim for @p idempotencyKey. DuplicateRequest when one exists; ClaimUnavailable when it cannot be proved
     /// that none does. In both failures this daemon has not run the call and never will.
-    Result<Claim> acquire(const std::string &organisation, const std::string &service, const std::string &repeatKey);
+    Result<Claim> acquire(const std::string &organisation, const std::string &service, const std::string &idempotencyKey);
     /// Gives back a claim under which provably nothing was sent, so that the caller may try again.
     void release(const Claim &claim);
     /// Notes that the call under @p claim ran, so that repeats are told so for as long as this daemon lives.
--- a/src/portpaddle/dispatch/dispatcher.cpp
+++ b/src/portpaddle/dispatch/dispatcher.cpp
@@ -314,7 +314,7 @@
             break;
         case AttemptEnd::Broken:
             run_ = RunState::MayHaveRun;
-            if (!mayRepeat()) {
+            if (!mayRetry()) {
                 return failure(result.error.code, result.error.message);
             }
             break;
@@ -326,12 +326,12 @@
     }
 
     /// After a break a stream goes on at its next token; anything else only while nothing of it reached the caller.
-    bool mayRepeat() const
+    bool mayRetry() const
     {
         if (call_.atMostOnce) {
             return false;
         }
-        return call_.streamed ? call_.repeatable : call_.repeatable && !sink_.started();
+        return call_.streamed ? call_.retryable : call_.retryable && !sink_.started();
     }
 
     bool resuming() const
--- a/src/portpaddle/entry/entry_server.cpp
+++ b/src/portpaddle/entry/entry_server.cpp
@@ -101,7 +101,7 @@
         Call call = newCall(service->name);
         call.path = std::string(chatPath);
         call.streamed = chat.streamed;
-        call.repeatable = true;
+        call.retryable = true;
         call.facts.promptTokens = chat.promptTokens;
         call.facts.expectedTokens = chat.expectedTokens;
         call.facts.prefixHash = chat.prefixHash;
@@ -126,11 +126,11 @@
         }
         Call call = newCall(service->name);
         call.path = request_.target;
-        call.repeatable = service->isRepeatable(request_.method);
+        call.retryable = service->isRetryable(request_.method);
         call.atMostOnce = service->isAtMostOnce(request_.method, request_.path);
         call.idempotencyKey = request_.get_header_value("Idempotency-Key");
         // An upstream that refuses repeats itself needs no claim: the key is passed on to it.
-        call.claimed = service->checksRepeatKey;
+        call.claimed = service->checksIdempotencyKey;
         if (call.idempotencyKey.size() > longestIdempotencyKey) {
             return fail(refusal(ErrorCode::BadRequest, "the Idempotency-Key is too long"));
         }
--- a/src/portpaddle/gateway/exchange.cpp
+++ b/src/portpaddle/gateway/exchange.cpp
@@ -130,7 +130,7 @@
 {
     const SteadyTime started = BootClock::now();
     if (!request_.relayed) {
-        gateway_.retries_.firstSent(service_, started);
+        gateway_.retries_.recordFirstAttempt(service_, started);
     }
     AttemptReport report;
     bool attempted = false;
@@ -152,18 +152,18 @@
         report = co_await attempt(target);
         attempted = true;
         report = co_await continueMoved(std::move(report), target);
-        if (handedOver_ || !mayRepeat(report)) {
+        if (handedOver_ || !mayRetry(report)) {
             break;
         }
         gateway_.metrics_.count(progress_.begun ? Counter::Resumes : Counter::Retries);
         log(progress_.begun ? LogEvent::RequestResumed : LogEvent::RequestRetried, 0, report.error.message);
         const bool found = progress_.begun ? true : co_await findRoute();
         if (!found) {
-            returnRepeat();
+            refundRetry();
             co_return;
         }
     }
-    returnRepeat();
+    refundRetry();
     co_await finish(report);
 }
 
@@ -217,12 +217,12 @@
     }
     const SteadyTime now = BootClock::now();
     const Target next = gateway_.propose(request_, choiceContext(), now);
-    return (next.upstream || next.daemon) && gateway_.retries_.allowsRepeat(service_, now);
+    return (next.upstream || next.daemon) && gateway_.retries_.allowsRetry(service_, now);
 }
 
-bool Exchange::mayRepeat(const AttemptReport &report)
+bool Exchange::mayRetry(const AttemptReport &report)
 {
-    RepeatFacts facts;
+    RetryFacts facts;
     facts.ended
         = report.end == AttemptEnd::Complete || report.end == AttemptEnd::ReceiverGone || interruption_ != Interruption::None;
     facts.sent = report.sent;
@@ -234,31 +234,31 @@
     facts.held = isHeld();
     facts.sends = sends_;
     facts.attempts = route_->attempts;
-    const RepeatDecision decision = decideRepeat(facts);
-    repeatDenial_ = decision.denial;
+    const RetryDecision decision = decideRetry(facts);
+    retryDenial_ = decision.denial;
     payment_ = RetryPayment::Nobody;
-    if (repeatDenial_ != RepeatDenial::None) {
+    if (retryDenial_ != RetryDenial::None) {
         return false;
     }
     if (!decision.needsBudget) {
         gateway_.metrics_.count(Counter::RepeatsUnseen);
         return true;
     }
-    if (!payForRepeat()) {
-        repeatDenial_ = RepeatDenial::BudgetSpent;
+    if (!payForRetry()) {
+        retryDenial_ = RetryDenial::BudgetSpent;
         gateway_.metrics_.count(Counter::RepeatsDenied);
     }
-    return repeatDenial_ == RepeatDenial::None;
+    return retryDenial_ == RetryDenial::None;
 }
 
-bool Exchange::payForRepeat()
+bool Exchange::payForRetry()
 {
-    payment_ = gateway_.retries_.takeRepeat(service_, BootClock::now());
+    payment_ = gateway_.retries_.takeRetry(service_, BootClock::now());
     if (payment_ == RetryPayment::Nobody) {
         return false;
     }
     gateway_.metrics_.count(Counter::RepeatsPaid);
-    beginRepeat();
+    beginRetry();
     return true;
 }
 
@@ -266,33 +266,33 @@
 /// the less for other repeats.
 void Exchange::payForMovedRun()
 {
-    gateway_.retries_.forceRepeat(service_, BootClock::now());
+    gateway_.retries_.forceRetry(service_, BootClock::now());
     gateway_.metrics_.count(Counter::RepeatsMoved);
     payment_ = RetryPayment::Debt;
-    beginRepeat();
+    beginRetry();
 }
 
-void Exchange::beginRepeat()
+void Exchange::beginRetry()
 {
-    repeatUnderWay_ = service_;
-    repeatTakenAt_ = BootClock::now();
+    retryUnderWay_ = service_;
+    retryTakenAt_ = BootClock::now();
 }
 
-void Exchange::noteRepeatArrived()
+void Exchange::noteRetryArrived()
 {
-    if (repeatUnderWay_) {
+    if (retryUnderWay_) {
         const SteadyTime now = BootClock::now();
-        gateway_.retries_.repeatArrived(*repeatUnderWay_, now);
-        gateway_.metrics_.observe(Timer::RepeatArrival, std::chrono::duration<double, std::milli>(now - repeatTakenAt_).count());
-        repeatUnderWay_.reset();
+        gateway_.retries_.recordRetryArrival(*retryUnderWay_, now);
+        gateway_.metrics_.observe(Timer::RepeatArrival, std::chrono::duration<double, std::milli>(now - retryTakenAt_).count());
+        retryUnderWay_.reset();
     }
 }
 
-void Exchange::returnRepeat()
+void Exchange::refundRetry()
 {
-    if (repeatUnderWay_) {
-        gateway_.retries_.returnRepeat(*repeatUnderWay_, BootClock::now());
-        repeatUnderWay_.reset();
+    if (retryUnderWay_) {
+        gateway_.retries_.refundRetry(*retryUnderWay_, BootClock::now());
+        retryUnderWay_.reset();
     }
 }
 
--- a/src/portpaddle/gateway/exchange.h
+++ b/src/portpaddle/gateway/exchange.h
@@ -7,7 +7,7 @@
 #include "portpaddle/base/log.h"
 #include "portpaddle/crashes/request_fingerprint.h"
 #include "portpaddle/gateway/gateway.h"
-#include "portpaddle/gateway/repeat_rules.h"
+#include "portpaddle/gateway/retry_rules.h"
 #include "portpaddle/gateway/run_move.h"
 #include "portpaddle/gateway/upstream_attempt.h"
 
@@ -88,17 +88,17 @@
     /// Another attempt is allowed, paid for, and has somewhere to go: without it the answer would be lost.
     bool anotherWillFollow();
     /// Whether another attempt may follow @p report.
-    bool mayRepeat(const AttemptReport &report);
+    bool mayRetry(const AttemptReport &report);
     /// Takes what the next attempt costs; false where nothing is left.
-    bool payForRepeat();
+    bool payForRetry();
     /// Takes it whatever is left, for a run that goes on elsewhere.
     void payForMovedRun();
     /// What was paid for is under way from now on.
-    void beginRepeat();
+    void beginRetry();
     /// The attempt that was paid for has reached its upstream, if it ever will.
-    void noteRepeatArrived();
+    void noteRetryArrived();
     /// No attempt followed that could have reached one.
-    void returnRepeat();
+    void refundRetry();
     /// Whether room may come in time where there is none for @p reason.
     bool mayWaitForRoom(LossReason reason) const;
     /// How long the request may still wait for room.
@@ -156,13 +156,13 @@
     /// Upstreams that all daemons sent it to.
     unsigned sends_ = 0;
     /// Where a repeat that was paid for is still to arrive; the payment holds until something is sent.
-    std::optional<std::string> repeatUnderWay_;
+    std::optional<std::string> retryUnderWay_;
     /// When it was paid for.
-    SteadyTime repeatTakenAt_;
+    SteadyTime retryTakenAt_;
     /// What paid for the last attempt.
     RetryPayment payment_ = RetryPayment::Nobody;
     /// Why no attempt followed the last one.
-    RepeatDenial repeatDenial_ = RepeatDenial::None;
+    RetryDenial retryDenial_ = RetryDenial::None;
     double predictedMs_ = 0;
     /// Made when it is first needed.
     std::optional<RequestFingerprint> fingerprint_;
--- a/src/portpaddle/gateway/exchange_attempt.cpp
+++ b/src/portpaddle/gateway/exchange_attempt.cpp
@@ -107,7 +107,7 @@
 
 void Exchange::noteFirstEvent()
 {
-    noteRepeatArrived();
+    noteRetryArrived();
     attemptBegan_ = BootClock::now();
     firstEventMs_ = static_cast<double>(elapsedSince(request_.arrivedAt).count());
     gateway_.metrics_.observe(Timer::FirstByte, firstEventMs_);
@@ -150,7 +150,7 @@
 {
     const bool seen = report.sent && report.relayedSends != 0U;
     if (seen) {
-        noteRepeatArrived();
+        noteRetryArrived();
     }
     const SteadyTime now = BootClock::now();
     const bool interrupted = interruption_ != Interruption::None;
--- a/src/portpaddle/gateway/exchange_endings.cpp
+++ b/src/portpaddle/gateway/exchange_endings.cpp
@@ -99,7 +99,7 @@
 
 bool Exchange::tellsBudget() const
 {
-    return sends_ > 1 || repeatDenial_ == RepeatDenial::BudgetSpent;
+    return sends_ > 1 || retryDenial_ == RetryDenial::BudgetSpent;
 }
 
 /// One line with what decided: the settings' version, the targets asked, the prediction and what came of it.
@@ -114,7 +114,7 @@
                { "store_reachable", gateway_.view()->storeReachable ? "true" : "false" },
                { "asked", asked_ },
                { "sends", std::to_string(sends_) },
-               { "no_repeat", std::string(nameOf(repeatDenial_)) },
+               { "no_repeat", std::string(nameOf(retryDenial_)) },
                { "paid_by", std::string(nameOf(payment_)) },
                { "retry_divisor", tellsBudget() ? std::to_string(gateway_.retryDivisor()) : std::string() },
                { "retry_credit",
--- a/src/portpaddle/gateway/repeat_rules.cpp
+++ b/src/portpaddle/gateway/retry_rules.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/gateway/repeat_rules.h"
+#include "portpaddle/gateway/retry_rules.h"
 
 #include "portpaddle/base/name_table.h"
 
@@ -9,34 +9,34 @@
 
 namespace {
 
-constexpr NameTable<RepeatDenial, 8> denialNames{ { "none", "ended", "may_have_run", "entry_decides", "not_resumable",
-                                                    "attempts_used", "budget_spent", "ends_upstreams" } };
+constexpr NameTable<RetryDenial, 8> denialNames{ { "none", "ended", "may_have_run", "entry_decides", "not_resumable",
+                                                   "attempts_used", "budget_spent", "ends_upstreams" } };
 
 } // namespace
 
-std::string_view nameOf(RepeatDenial denial)
+std::string_view nameOf(RetryDenial denial)
 {
     return denialNames[denial];
 }
 
-RepeatDecision decideRepeat(const RepeatFacts &facts)
+RetryDecision decideRetry(const RetryFacts &facts)
 {
     if (facts.ended) {
-        return { RepeatDenial::Ended };
+        return { RetryDenial::Ended };
     }
     if (facts.held) {
-        return { RepeatDenial::EndsUpstreams };
+        return { RetryDenial::EndsUpstreams };
     }
     if (facts.mayHaveRun && !facts.mayRunTwice) {
-        return { RepeatDenial::MayHaveRun };
+        return { RetryDenial::MayHaveRun };
     }
     if (facts.mayHaveRun && facts.relayed) {
         // The daemon that took the request from its caller knows more places to go on.
-        return { RepeatDenial::EntryDecides };
+        return { RetryDenial::EntryDecides };
     }
     if (facts.cannotContinue) {
         // Its caller has a part of another run, also where the attempt to go on with that run was refused or never left.
-        return { RepeatDenial::NotResumable };
+        return { RetryDenial::NotResumable };
     }
     if (!facts.sent) {
         // Nothing left this daemon: another target costs nobody anything.
@@ -46,9 +46,9 @@
         return {};
     }
     if (facts.sends >= facts.attempts) {
-        return { RepeatDenial::AttemptsUsed };
+        return { RetryDenial::AttemptsUsed };
     }
-    return { RepeatDenial::None, true };
+    return { RetryDenial::None, true };
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/gateway/repeat_rules.h
+++ b/src/portpaddle/gateway/retry_rules.h
@@ -10,11 +10,11 @@
 namespace Portpaddle {
 
 /// Why no other attempt follows.
-enum class RepeatDenial { None, Ended, MayHaveRun, EntryDecides, NotResumable, AttemptsUsed, BudgetSpent, EndsUpstreams };
-std::string_view nameOf(RepeatDenial denial);
+enum class RetryDenial { None, Ended, MayHaveRun, EntryDecides, NotResumable, AttemptsUsed, BudgetSpent, EndsUpstreams };
+std::string_view nameOf(RetryDenial denial);
 
 /// What decides, but for the budget.
-struct RepeatFacts
+struct RetryFacts
 {
     /// The answer is complete, or nobody waits for one any more.
     bool ended = false;
@@ -36,12 +36,12 @@
 };
 
 /// What follows; a repeat costs budget unless no upstream saw the request.
-struct RepeatDecision
+struct RetryDecision
 {
-    RepeatDenial denial = RepeatDenial::None;
+    RetryDenial denial = RetryDenial::None;
     bool needsBudget = false;
 };
 
-RepeatDecision decideRepeat(const RepeatFacts &facts);
+RetryDecision decideRetry(const RetryFacts &facts);
 
 } // namespace Portpaddle
--- a/src/portpaddle/interfaces/attempt_target.h
+++ b/src/portpaddle/interfaces/attempt_target.h
@@ -28,7 +28,7 @@
     /// The right to run it was claimed by the daemon that forwarded it.
     bool claimed = false;
     /// Whether it may be sent again when it is not known whether it ran.
-    bool repeatable = false;
+    bool retryable = false;
     std::string idempotencyKey;
     /// Tokens that the caller already has.
     unsigned resumeFrom = 0;
--- a/src/portpaddle/link/link_server.cpp
+++ b/src/portpaddle/link/link_server.cpp
@@ -245,8 +245,8 @@
             return socket_->write(frameOf(endFrame(frame.stream, *refusal)));
         }
         const ServiceSettings *service = settings->service(call.facts.service);
-        call.repeatable = service != nullptr && !call.atMostOnce
-            && (service->kind == ServiceKind::Model || service->isRepeatable(call.method));
+        call.retryable = service != nullptr && !call.atMostOnce
+            && (service->kind == ServiceKind::Model || service->isRetryable(call.method));
         const auto sink = std::make_shared<LinkAnswerSink>(socket_, frame.stream, frame.credit);
         {
             const std::lock_guard lock(mutex_);
--- a/src/portpaddle/retries/retry_credit.cpp
+++ b/src/portpaddle/retries/retry_credit.cpp
@@ -74,7 +74,7 @@
     return account;
 }
 
-void RetryCredit::firstSent(const std::string &service, SteadyTime now)
+void RetryCredit::recordFirstAttempt(const std::string &service, SteadyTime now)
 {
     Account &sent = accountAt(service, now);
     sent.firsts.push_back(now);
@@ -87,33 +87,33 @@
     return accountAt(service, now).level;
 }
 
-bool RetryCredit::allowsRepeat(const std::string &service, SteadyTime now)
+bool RetryCredit::allowsRetry(const std::string &service, SteadyTime now)
 {
     return left(service, now) >= wholeRepeat;
 }
 
-RetryPayment RetryCredit::takeRepeat(const std::string &service, SteadyTime now)
+RetryPayment RetryCredit::takeRetry(const std::string &service, SteadyTime now)
 {
-    if (!allowsRepeat(service, now)) {
+    if (!allowsRetry(service, now)) {
         return RetryPayment::Nobody;
     }
-    forceRepeat(service, now);
+    forceRetry(service, now);
     return RetryPayment::Credit;
 }
 
-void RetryCredit::forceRepeat(const std::string &service, SteadyTime now)
+void RetryCredit::forceRetry(const std::string &service, SteadyTime now)
 {
     Account &taken = accountAt(service, now);
     taken.level -= 1;
     ++taken.underWay;
 }
 
-void RetryCredit::repeatArrived(const std::string &service, SteadyTime now)
+void RetryCredit::recordRetryArrival(const std::string &service, SteadyTime now)
 {
     --accountAt(service, now).underWay;
 }
 
-void RetryCredit::returnRepeat(const std::string &service, SteadyTime now)
+void RetryCredit::refundRetry(const std::string &service, SteadyTime now)
 {
     Account &returned = accountAt(service, now);
     --returned.underWay;
--- a/src/portpaddle/retries/retry_credit.h
+++ b/src/portpaddle/retries/retry_credit.h
@@ -54,19 +54,19 @@
 {
 public:
     void setTerms(const RetryBudgetTerms &terms, SteadyTime now);
-    void firstSent(const std::string &service, SteadyTime now);
+    void recordFirstAttempt(const std::string &service, SteadyTime now);
     /// How many repeats are left now; below zero where runs that went on elsewhere took more.
     double left(const std::string &service, SteadyTime now);
     /// Whether a repeat would be allowed now.
-    bool allowsRepeat(const std::string &service, SteadyTime now);
+    bool allowsRetry(const std::string &service, SteadyTime now);
     /// Takes one repeat and tells what pays for it; takes none where nothing does.
-    RetryPayment takeRepeat(const std::string &service, SteadyTime now);
+    RetryPayment takeRetry(const std::string &service, SteadyTime now);
     /// Takes one that is made whatever is left.
-    void forceRepeat(const std::string &service, SteadyTime now);
+    void forceRetry(const std::string &service, SteadyTime now);
     /// A repeat that was taken has reached its upstream by now, if it ever will.
-    void repeatArrived(const std::string &service, SteadyTime now);
+    void recordRetryArrival(const std::string &service, SteadyTime now);
     /// A repeat that was taken was not sent.
-    void returnRepeat(const std::string &service, SteadyTime now);
+    void refundRetry(const std::string &service, SteadyTime now);
 
 private:
     struct Account
--- a/src/portpaddle/settings/compiled.cpp
+++ b/src/portpaddle/settings/compiled.cpp
@@ -94,8 +94,8 @@
     service.kind = serviceKindNames.find(tree.resolve(path, "kind").value.get<std::string>()).value_or(ServiceKind::Model);
     service.pathPrefix = tree.resolve(path, "path_prefix").value.get<std::string>();
     service.atMostOnce = textsOf(tree.resolve(path, "at_most_once").value);
-    service.repeatableMethods = textsOf(tree.resolve(path, "repeatable_methods").value);
-    service.checksRepeatKey = tree.resolve(path, "checks_repeat_key").value.get<bool>();
+    service.retryableMethods = textsOf(tree.resolve(path, "repeatable_methods").value);
+    service.checksIdempotencyKey = tree.resolve(path, "checks_repeat_key").value.get<bool>();
     return service;
 }
 
@@ -154,9 +154,9 @@
     });
 }
 
-bool ServiceSettings::isRepeatable(const std::string &method) const
+bool ServiceSettings::isRetryable(const std::string &method) const
 {
-    return std::find(repeatableMethods.begin(), repeatableMethods.end(), method) != repeatableMethods.end();
+    return std::find(retryableMethods.begin(), retryableMethods.end(), method) != retryableMethods.end();
 }
 
 std::shared_ptr<const CompiledSettings> CompiledSettings::compile(const SettingsTree &tree, const Place &place)
--- a/src/portpaddle/settings/compiled.h
+++ b/src/portpaddle/settings/compiled.h
@@ -65,11 +65,11 @@
     ServiceKind kind = ServiceKind::Model;
     std::string pathPrefix;
     std::vector<std::string> atMostOnce;
-    std::vector<std::string> repeatableMethods;
-    bool checksRepeatKey = false;
+    std::vector<std::string> retryableMethods;
+    bool checksIdempotencyKey = false;
 
     bool isAtMostOnce(const std::string &method, const std::string &path) const;
-    bool isRepeatable(const std::string &method) const;
+    bool isRetryable(const std::string &method) const;
 };
 
 /// A service that an upstream offers.
--- a/src/standins/plain_standin.cpp
+++ b/src/standins/plain_standin.cpp
@@ -83,8 +83,8 @@
 
 void PlainStandIn::serve(const httplib::Request &request, httplib::Response &response)
 {
-    const std::string repeatKey = request.get_header_value("Idempotency-Key");
-    const std::string key = repeatKey.empty() ? request.method + ' ' + request.path : repeatKey;
+    const std::string idempotencyKey = request.get_header_value("Idempotency-Key");
+    const std::string key = idempotencyKey.empty() ? request.method + ' ' + request.path : idempotencyKey;
     unsigned count = 0;
     PlainFault fault = PlainFault::None;
     {
--- a/tests/gateway/bounds_tests.cpp
+++ b/tests/gateway/bounds_tests.cpp
@@ -4,7 +4,7 @@
 // Shares of system-wide bounds: retries and cold upstreams.
 
 #include "portpaddle/gateway/cold_gate.h"
-#include "portpaddle/gateway/repeat_rules.h"
+#include "portpaddle/gateway/retry_rules.h"
 #include "portpaddle/retries/retry_credit.h"
 
 #include <doctest/doctest.h>
@@ -103,10 +103,10 @@
         RetryCredit credit;
         credit.setTerms({ .ratio = 0.2, .fixedPart = 54.0 / daemons }, start - 10s);
         for (unsigned request = 0; request < requests; ++request) {
-            credit.firstSent("s", start + request * 100ms);
+            credit.recordFirstAttempt("s", start + request * 100ms);
         }
         for (unsigned request = 0; request < requests; ++request) {
-            repeats += credit.takeRepeat("s", start + 10s) != RetryPayment::Nobody ? 1 : 0;
+            repeats += credit.takeRetry("s", start + 10s) != RetryPayment::Nobody ? 1 : 0;
         }
     }
     CHECK(repeats <= 0.2 * requests * daemons + 54);
@@ -127,7 +127,7 @@
     RetryCredit credit;
     credit.setTerms({ .ratio = 0.2, .fixedPart = 10 }, start);
     for (unsigned request = 0; request < 100; ++request) {
-        credit.firstSent("s", start);
+        credit.recordFirstAttempt("s", start);
     }
     CHECK(credit.left("s", start + 1min) == doctest::Approx(5));
 }
@@ -142,9 +142,9 @@
         credit.setTerms({ .ratio = 0.2, .fixedPart = 54.0 / daemons }, start);
         // All callers are at this daemon in this second of the window.
         for (unsigned request = 0; request < requests; ++request) {
-            credit.firstSent("s", start + std::chrono::seconds(daemon));
+            credit.recordFirstAttempt("s", start + std::chrono::seconds(daemon));
         }
-        while (credit.takeRepeat("s", start + std::chrono::seconds(daemon)) != RetryPayment::Nobody) {
+        while (credit.takeRetry("s", start + std::chrono::seconds(daemon)) != RetryPayment::Nobody) {
             ++repeats;
         }
     }
@@ -157,10 +157,10 @@
     RetryCredit credit;
     credit.setTerms({ .ratio = 0.5 }, start);
     for (unsigned request = 0; request < 4; ++request) {
-        credit.firstSent("s", start);
+        credit.recordFirstAttempt("s", start);
     }
-    CHECK(credit.allowsRepeat("s", start + 1s));
-    CHECK_FALSE(credit.allowsRepeat("s", start + 12s));
+    CHECK(credit.allowsRetry("s", start + 1s));
+    CHECK_FALSE(credit.allowsRetry("s", start + 12s));
 }
 
 TEST_CASE("Retry credit, repeat that was taken, is not taken twice")
@@ -168,12 +168,12 @@
     RetryCredit credit;
     credit.setTerms({ .ratio = 0.5 }, start);
     for (unsigned request = 0; request < 4; ++request) {
-        credit.firstSent("s", start);
+        credit.recordFirstAttempt("s", start);
     }
-    CHECK(credit.takeRepeat("s", start + 1s) == RetryPayment::Credit);
-    credit.repeatArrived("s", start + 1s);
-    CHECK(credit.takeRepeat("s", start + 2s) == RetryPayment::Nobody);
-    CHECK(credit.takeRepeat("s", start + 12s) == RetryPayment::Nobody);
+    CHECK(credit.takeRetry("s", start + 1s) == RetryPayment::Credit);
+    credit.recordRetryArrival("s", start + 1s);
+    CHECK(credit.takeRetry("s", start + 2s) == RetryPayment::Nobody);
+    CHECK(credit.takeRetry("s", start + 12s) == RetryPayment::Nobody);
 }
 
 TEST_CASE("Retry credit, repeats that are held up on their way, are followed by few others")
@@ -183,8 +183,8 @@
     unsigned underWay = 0;
     for (unsigned request = 0; request < 1'000; ++request) {
         const SteadyTime now = start + request * 100ms;
-        credit.firstSent("s", now);
-        underWay += credit.takeRepeat("s", now) != RetryPayment::Nobody ? 1 : 0;
+        credit.recordFirstAttempt("s", now);
+        underWay += credit.takeRetry("s", now) != RetryPayment::Nobody ? 1 : 0;
     }
     // What one window may save; its requests pay for twice as many.
     CHECK(underWay == 10);
@@ -195,24 +195,24 @@
     RetryCredit credit;
     credit.setTerms({ .ratio = 0.5 }, start);
     for (unsigned request = 0; request < 4; ++request) {
-        credit.firstSent("s", start);
+        credit.recordFirstAttempt("s", start);
     }
-    CHECK(credit.takeRepeat("s", start) == RetryPayment::Credit);
-    CHECK_FALSE(credit.allowsRepeat("s", start));
-    credit.returnRepeat("s", start);
-    CHECK(credit.allowsRepeat("s", start));
+    CHECK(credit.takeRetry("s", start) == RetryPayment::Credit);
+    CHECK_FALSE(credit.allowsRetry("s", start));
+    credit.refundRetry("s", start);
+    CHECK(credit.allowsRetry("s", start));
 }
 
 TEST_CASE("Retry credit, run that goes on elsewhere, is charged to what is earned later")
 {
     RetryCredit credit;
     credit.setTerms({ .ratio = 0.5 }, start);
-    credit.forceRepeat("s", start);
-    credit.repeatArrived("s", start);
+    credit.forceRetry("s", start);
+    credit.recordRetryArrival("s", start);
     for (unsigned request = 0; request < 4; ++request) {
-        credit.firstSent("s", start);
+        credit.recordFirstAttempt("s", start);
     }
-    CHECK_FALSE(credit.allowsRepeat("s", start));
+    CHECK_FALSE(credit.allowsRetry("s", start));
     CHECK(credit.left("s", start) == doctest::Approx(0));
 }
 
@@ -229,9 +229,9 @@
 
 namespace {
 
-RepeatFacts refusedOnce()
+RetryFacts refusedOnce()
 {
-    RepeatFacts facts;
+    RetryFacts facts;
     facts.sent = true;
     facts.sends = 1;
     facts.attempts = 2;
@@ -242,43 +242,43 @@
 
 TEST_CASE("Repeat, refused by one of two upstreams, is allowed for budget")
 {
-    const RepeatDecision decision = decideRepeat(refusedOnce());
-    CHECK(decision.denial == RepeatDenial::None);
+    const RetryDecision decision = decideRetry(refusedOnce());
+    CHECK(decision.denial == RetryDenial::None);
     CHECK(decision.needsBudget);
 }
 
 TEST_CASE("Repeat, seen by no upstream, costs nothing even with attempts used")
 {
-    RepeatFacts facts = refusedOnce();
+    RetryFacts facts = refusedOnce();
     facts.unseen = true;
     facts.attempts = 1;
-    CHECK(decideRepeat(facts).denial == RepeatDenial::None);
-    CHECK_FALSE(decideRepeat(facts).needsBudget);
+    CHECK(decideRetry(facts).denial == RetryDenial::None);
+    CHECK_FALSE(decideRetry(facts).needsBudget);
 }
 
 TEST_CASE("Repeat, stream that cannot be continued, is denied however its last attempt ended")
 {
-    RepeatFacts facts = refusedOnce();
+    RetryFacts facts = refusedOnce();
     facts.cannotContinue = true;
     facts.unseen = true;
-    CHECK(decideRepeat(facts).denial == RepeatDenial::NotResumable);
+    CHECK(decideRetry(facts).denial == RetryDenial::NotResumable);
     facts.unseen = false;
     facts.sent = false;
-    CHECK(decideRepeat(facts).denial == RepeatDenial::NotResumable);
+    CHECK(decideRetry(facts).denial == RetryDenial::NotResumable);
 }
 
 TEST_CASE("Repeat, each reason against it, is named")
 {
-    RepeatFacts facts = refusedOnce();
+    RetryFacts facts = refusedOnce();
     facts.attempts = 1;
-    CHECK(decideRepeat(facts).denial == RepeatDenial::AttemptsUsed);
+    CHECK(decideRetry(facts).denial == RetryDenial::AttemptsUsed);
     facts.cannotContinue = true;
-    CHECK(decideRepeat(facts).denial == RepeatDenial::NotResumable);
+    CHECK(decideRetry(facts).denial == RetryDenial::NotResumable);
     facts.mayHaveRun = true;
-    CHECK(decideRepeat(facts).denial == RepeatDenial::MayHaveRun);
+    CHECK(decideRetry(facts).denial == RetryDenial::MayHaveRun);
     facts.mayRunTwice = true;
     facts.relayed = true;
-    CHECK(decideRepeat(facts).denial == RepeatDenial::EntryDecides);
+    CHECK(decideRetry(facts).denial == RetryDenial::EntryDecides);
     facts.ended = true;
-    CHECK(nameOf(decideRepeat(facts).denial) == "ended");
+    CHECK(nameOf(decideRetry(facts).denial) == "ended");
 }
--- a/tests/introspective/dispatch_tests.cpp
+++ b/tests/introspective/dispatch_tests.cpp
@@ -63,7 +63,7 @@
     {
         Call call;
         call.streamed = streamed;
-        call.repeatable = true;
+        call.retryable = true;
         call.facts.requestId = "r1";
         call.facts.organisation = "o";
         call.facts.service = "m";
@@ -79,7 +79,7 @@
         call.method = method;
         call.path = path;
         call.facts.service = "desk";
-        call.repeatable = service->isRepeatable(method);
+        call.retryable = service->isRetryable(method);
         call.atMostOnce = service->isAtMostOnce(method, path);
         call.idempotencyKey = key;
         return call;
--- a/tests/support/retry_fleet.cpp
+++ b/tests/support/retry_fleet.cpp
@@ -231,7 +231,7 @@
 void RetryFleet::serve(Daemon &daemon)
 {
     while (!daemon.underWay.empty() && daemon.underWay.front() <= now_) {
-        daemon.account->repeatArrived(daemon.underWay.front());
+        daemon.account->recordRetryArrival(daemon.underWay.front());
         daemon.underWay.pop_front();
     }
     daemon.account->setPart({ ratio, fixedPartOf(daemon), daemon.rounding, window }, now_);
@@ -246,7 +246,7 @@
 void RetryFleet::take(Daemon &daemon)
 {
     requests_.push_back(now_);
-    daemon.account->firstSent(now_);
+    daemon.account->recordFirstAttempt(now_);
     const bool troubled = daemon.fails && now_ >= beganAt_ + scenario_.calm;
     for (unsigned sent = 1; troubled && sent < scenario_.attempts; ++sent) {
         if (random_.fraction() >= scenario_.failingAttempts) {
@@ -260,7 +260,7 @@
 
 bool RetryFleet::repeat(Daemon &daemon)
 {
-    if (!daemon.account->takeRepeat(now_)) {
+    if (!daemon.account->takeRetry(now_)) {
         ++denied_;
         return false;
     }
--- a/tests/support/retry_ways.cpp
+++ b/tests/support/retry_ways.cpp
@@ -34,12 +34,12 @@
         part_ = part;
     }
 
-    void firstSent(SteadyTime now) override
+    void recordFirstAttempt(SteadyTime now) override
     {
         firsts_.push_back(now);
     }
 
-    bool takeRepeat(SteadyTime now) override
+    bool takeRetry(SteadyTime now) override
     {
         dropBefore(firsts_, now - part_.window);
         dropBefore(arrivals_, now - part_.window);
@@ -50,7 +50,7 @@
         return taken;
     }
 
-    void repeatArrived(SteadyTime now) override
+    void recordRetryArrival(SteadyTime now) override
     {
         --underWay_;
         arrivals_.push_back(now);
@@ -72,14 +72,14 @@
         part_ = part;
     }
 
-    void firstSent(SteadyTime now) override
+    void recordFirstAttempt(SteadyTime now) override
     {
         earned_.push_back(now);
         level_ += part_.ratio;
         forgetLapsed(now);
     }
 
-    bool takeRepeat(SteadyTime now) override
+    bool takeRetry(SteadyTime now) override
     {
         forgetLapsed(now);
         if (level_ >= 1) {
@@ -94,7 +94,7 @@
         return taken;
     }
 
-    void repeatArrived(SteadyTime) override
+    void recordRetryArrival(SteadyTime) override
     {
     }
 
@@ -122,13 +122,13 @@
         part_ = part;
     }
 
-    void firstSent(SteadyTime now) override
+    void recordFirstAttempt(SteadyTime now) override
     {
         refill(now);
         level_ = std::min(level_ + part_.ratio, depth());
     }
 
-    bool takeRepeat(SteadyTime now) override
+    bool takeRetry(SteadyTime now) override
     {
         refill(now);
         const bool taken = level_ >= 1;
@@ -136,7 +136,7 @@
         return taken;
     }
 
-    void repeatArrived(SteadyTime) override
+    void recordRetryArrival(SteadyTime) override
     {
     }
 
@@ -182,19 +182,19 @@
         credit_.setTerms(terms, now);
     }
 
-    void firstSent(SteadyTime now) override
+    void recordFirstAttempt(SteadyTime now) override
     {
-        credit_.firstSent(service, now);
+        credit_.recordFirstAttempt(service, now);
     }
 
-    bool takeRepeat(SteadyTime now) override
+    bool takeRetry(SteadyTime now) override
     {
-        return credit_.takeRepeat(service, now) != RetryPayment::Nobody;
+        return credit_.takeRetry(service, now) != RetryPayment::Nobody;
     }
 
-    void repeatArrived(SteadyTime now) override
+    void recordRetryArrival(SteadyTime now) override
     {
-        credit_.repeatArrived(service, now);
+        credit_.recordRetryArrival(service, now);
     }
 
 private:
--- a/tests/support/retry_ways.h
+++ b/tests/support/retry_ways.h
@@ -50,10 +50,10 @@
     virtual ~RetryAccount() = default;
 
     virtual void setPart(const RetryPart &part, SteadyTime now) = 0;
-    virtual void firstSent(SteadyTime now) = 0;
+    virtual void recordFirstAttempt(SteadyTime now) = 0;
     /// Takes a repeat where one is left.
-    virtual bool takeRepeat(SteadyTime now) = 0;
-    virtual void repeatArrived(SteadyTime now) = 0;
+    virtual bool takeRetry(SteadyTime now) = 0;
+    virtual void recordRetryArrival(SteadyTime now) = 0;
 };
 
 std::unique_ptr<RetryAccount> makeRetryAccount(RetryWay way);
