--- a/src/portpaddle/gateway/cold_gate.cpp
+++ b/src/portpaddle/gateway/cold_gate.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void ColdGate::setTerms(const ColdTerms &terms)
+void ColdGate::setOptions(const ColdTerms &terms)
 {
     terms_ = terms;
 }
--- a/src/portpaddle/gateway/cold_gate.h
+++ b/src/portpaddle/gateway/cold_gate.h
@@ -30,7 +30,7 @@
 class ColdGate
 {
 public:
-    void setTerms(const ColdTerms &terms);
+    void setOptions(const ColdTerms &terms);
     /// Whether one more request may be sent now to @p upstream, which bears @p perSecond. Only the @p owner of an upstream sends
     /// where the bound is too small to be divided among all daemons.
     bool allows(const std::string &upstream, double perSecond, bool owner, SteadyTime now);
--- a/src/portpaddle/gateway/exchange.cpp
+++ b/src/portpaddle/gateway/exchange.cpp
@@ -115,7 +115,7 @@
 
 bool Exchange::fitsStop()
 {
-    const std::optional<StopTerms> &stop = gateway_.stop();
+    const std::optional<StopDeadlines> &stop = gateway_.stop();
     // A run that goes on can still be handed over again.
     if (!stop || continuation_) {
         return true;
--- a/src/portpaddle/gateway/exchange_admission.cpp
+++ b/src/portpaddle/gateway/exchange_admission.cpp
@@ -24,7 +24,7 @@
 
 Task<bool> Exchange::awaitConfiguration()
 {
-    while (!gateway_.view()->services && elapsedSince(request_.receivedAt) < gateway_.terms_.configurationWait
+    while (!gateway_.view()->services && elapsedSince(request_.receivedAt) < gateway_.options_.configurationWait
            && interruption_ == Interruption::None) {
         NetError ignored;
         roomTimer_.expires_after(configurationPoll);
--- a/src/portpaddle/gateway/gateway.cpp
+++ b/src/portpaddle/gateway/gateway.cpp
@@ -74,7 +74,7 @@
 
 bool Gateway::reserveBody(std::size_t bytes)
 {
-    if (bodyBytes_ + bytes > terms_.bodyMemoryBytes) {
+    if (bodyBytes_ + bytes > options_.bodyMemoryBytes) {
         return false;
     }
     bodyBytes_ += bytes;
@@ -86,9 +86,9 @@
     bodyBytes_ -= bytes;
 }
 
-void Gateway::setTerms(const GatewayTerms &terms)
+void Gateway::setOptions(const GatewayOptions &terms)
 {
-    terms_ = terms;
+    options_ = terms;
     organisationLimits_.setTolerance(terms.limitTolerance);
     retryMembers_.setSettling(terms.listSettling);
     shareRetries(BootClock::now());
@@ -98,7 +98,7 @@
 /// from each other, so that a daemon which knows its own data centre alone does not spend the parts of the others.
 unsigned Gateway::retryDivisor() const
 {
-    return terms_.dataCentres * retryMembers_.count(BootClock::now());
+    return options_.dataCentres * retryMembers_.count(BootClock::now());
 }
 
 void Gateway::shareRetries(SteadyTime now)
@@ -106,12 +106,12 @@
     if (view_->storeReachable) {
         retryMembers_.confirmList(now);
     }
-    RetryBudgetTerms terms;
-    terms.ratio = terms_.retryRatio;
-    terms.fixedPart = retryMembers_.maySpend(now) ? terms_.extraRetriesPerWindow / retryDivisor() : 0;
+    RetryBudgetOptions terms;
+    terms.ratio = options_.retryRatio;
+    terms.fixedPart = retryMembers_.maySpend(now) ? options_.extraRetriesPerWindow / retryDivisor() : 0;
     terms.rounding = retryRounding_;
-    terms.window = terms_.retryWindow;
-    retries_.setTerms(terms, now);
+    terms.window = options_.retryWindow;
+    retries_.setOptions(terms, now);
 }
 
 void Gateway::setPolicy(const PolicySettings &policy)
@@ -130,7 +130,7 @@
     if (orders_ == nullptr || !policy_.moves) {
         return;
     }
-    const bool ending = stop_ && now + terms_.handOverLead >= stop_->end;
+    const bool ending = stop_ && now + options_.handOverLead >= stop_->end;
     for (const auto &[id, exchanges] : streams_) {
         const auto upstream = view_->upstreams.find(id);
         if (upstream == view_->upstreams.end()) {
@@ -150,8 +150,8 @@
     if (!upstream.leavingSince) {
         return false;
     }
-    const SteadyTime end = upstream.goneAt.value_or(*upstream.leavingSince + terms_.drainBound);
-    return now + terms_.moveLead >= end && now <= end + terms_.moveLead;
+    const SteadyTime end = upstream.goneAt.value_or(*upstream.leavingSince + options_.drainBound);
+    return now + options_.moveLead >= end && now <= end + options_.moveLead;
 }
 
 void Gateway::forgetStream(const std::string &upstream, Exchange *exchange)
@@ -289,15 +289,15 @@
     chooseOwners(now);
     upstreamLimits_.tick(now);
     shareRetries(now);
-    cold_.setTerms({ terms_.coldOvershoot, terms_.coldSlack, daemonsSharing(), retryMembers_.ownListedSince() });
+    cold_.setOptions({ options_.coldOvershoot, options_.coldSlack, daemonsSharing(), retryMembers_.ownListedSince() });
 }
 
-void Gateway::beginDrain(const StopTerms &stop)
+void Gateway::beginDrain(const StopDeadlines &stop)
 {
     stop_ = stop;
 }
 
-const std::optional<StopTerms> &Gateway::stop() const
+const std::optional<StopDeadlines> &Gateway::stop() const
 {
     return stop_;
 }
--- a/src/portpaddle/gateway/gateway.h
+++ b/src/portpaddle/gateway/gateway.h
@@ -45,7 +45,7 @@
 };
 
 /// Bounds that the deployment sets.
-struct GatewayTerms
+struct GatewayOptions
 {
     double retryRatio = 0.1;
     double extraRetriesPerWindow = 10;
@@ -85,7 +85,7 @@
     bool reserveBody(std::size_t bytes) override;
     void releaseBody(std::size_t bytes) override;
 
-    void setTerms(const GatewayTerms &terms);
+    void setOptions(const GatewayOptions &terms);
     void setPolicy(const PolicySettings &policy);
     /// Without orders the memory of runs is not moved.
     void setOrders(const UpstreamOrders *orders);
@@ -112,9 +112,9 @@
     /// Housekeeping, a few times a second.
     void tick();
     /// From now on answers close their connections, and requests are refused that may not be over in time.
-    void beginDrain(const StopTerms &stop);
+    void beginDrain(const StopDeadlines &stop);
     /// The times of a stop that has begun.
-    const std::optional<StopTerms> &stop() const;
+    const std::optional<StopDeadlines> &stop() const;
     /// No caller is taken any more.
     void beginClosing();
     /// Another daemon of the own region takes callers.
@@ -213,7 +213,7 @@
     std::shared_ptr<const FleetView> view_;
     RandomSource &random_;
     Metrics &metrics_;
-    GatewayTerms terms_;
+    GatewayOptions options_;
     PolicySettings policy_;
     ConnectionPool pool_;
     CrashGuard crashes_;
@@ -253,7 +253,7 @@
     std::uint64_t digestSequence_ = 0;
     /// Parts that the digests of this round tell, by reach.
     std::array<std::vector<Wire::PlacedPart>, 2> roundParts_;
-    std::optional<StopTerms> stop_;
+    std::optional<StopDeadlines> stop_;
     bool closed_ = false;
 };
 
--- a/src/portpaddle/gateway/stop_rules.cpp
+++ b/src/portpaddle/gateway/stop_rules.cpp
@@ -15,7 +15,7 @@
 
 // A refusal costs a caller one round trip and one of its few tries; a cut costs the whole answer, which it cannot ask for again
 // where the request may not be repeated. A daemon that asks for a caller loses nothing but the round trip.
-StopVerdict judgeWhileStopping(const StopTerms &stop, SteadyTime deadline, bool relayed, SteadyTime now)
+StopVerdict judgeWhileStopping(const StopDeadlines &stop, SteadyTime deadline, bool relayed, SteadyTime now)
 {
     if (deadline < stop.end) {
         return StopVerdict::Take;
@@ -23,7 +23,7 @@
     return relayed || now >= stop.likelyUntil ? StopVerdict::Refuse : StopVerdict::TakeIfLikely;
 }
 
-SteadyTime likelyEnd(const StopTerms &stop, SteadyTime now)
+SteadyTime likelyEnd(const StopDeadlines &stop, SteadyTime now)
 {
     return now + std::chrono::duration_cast<SteadyTime::duration>((stop.end - now) * likelyShare);
 }
--- a/src/portpaddle/gateway/stop_rules.h
+++ b/src/portpaddle/gateway/stop_rules.h
@@ -9,7 +9,7 @@
 namespace Portpaddle {
 
 /// The times of one stop.
-struct StopTerms
+struct StopDeadlines
 {
     /// Until then a request is also taken that will likely be over in time.
     SteadyTime likelyUntil;
@@ -28,9 +28,9 @@
 };
 
 /// Judges a request that may last until @p deadline; a relayed one comes from another daemon, which can ask elsewhere.
-StopVerdict judgeWhileStopping(const StopTerms &stop, SteadyTime deadline, bool relayed, SteadyTime now);
+StopVerdict judgeWhileStopping(const StopDeadlines &stop, SteadyTime deadline, bool relayed, SteadyTime now);
 
 /// When a request that is taken now has to be over by its prediction.
-SteadyTime likelyEnd(const StopTerms &stop, SteadyTime now);
+SteadyTime likelyEnd(const StopDeadlines &stop, SteadyTime now);
 
 } // namespace Portpaddle
--- a/src/portpaddle/limits/organisation_limits.cpp
+++ b/src/portpaddle/limits/organisation_limits.cpp
@@ -116,7 +116,7 @@
 void OrganisationLimits::updateShare(State &state, SteadyTime now)
 {
     state.share = shareOf(state, ownRegion_, now);
-    state.region.setTerms(state.limit, state.share, tolerance_, now);
+    state.region.setOptions(state.limit, state.share, tolerance_, now);
 }
 
 std::optional<AdmissionGrant> OrganisationLimits::currentGrant(std::uint32_t organisation, State &state, SteadyTime now)
--- a/src/portpaddle/limits/region_limit.cpp
+++ b/src/portpaddle/limits/region_limit.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-void RegionLimit::setTerms(const OrganisationLimit &limit, double share, const LimitTolerance &tolerance, SteadyTime now)
+void RegionLimit::setOptions(const OrganisationLimit &limit, double share, const LimitTolerance &tolerance, SteadyTime now)
 {
     const bool fresh = refilledAt_ == SteadyTime{};
     refill(now);
--- a/src/portpaddle/limits/region_limit.h
+++ b/src/portpaddle/limits/region_limit.h
@@ -48,7 +48,7 @@
     using IsSilent = std::function<bool(const std::string &daemon, SteadyTime now)>;
 
     /// @p share of the limit belongs to this region.
-    void setTerms(const OrganisationLimit &limit, double share, const LimitTolerance &tolerance, SteadyTime now);
+    void setOptions(const OrganisationLimit &limit, double share, const LimitTolerance &tolerance, SteadyTime now);
     /// What @p daemon tells of itself.
     void take(const std::string &daemon, const DemandCounters &counters, SteadyTime now);
     /// Units a second asked in the region, over all daemons that are heard.
--- a/src/portpaddle/retries/retry_credit.cpp
+++ b/src/portpaddle/retries/retry_credit.cpp
@@ -23,16 +23,16 @@
     return paymentNames[payment];
 }
 
-void RetryCredit::setTerms(const RetryBudgetTerms &terms, SteadyTime now)
+void RetryCredit::setOptions(const RetryBudgetOptions &terms, SteadyTime now)
 {
-    if (terms == terms_) {
+    if (terms == options_) {
         return;
     }
     for (auto &[service, account] : accounts_) {
         refill(account, now);
     }
-    terms_ = terms;
-    if (terms_.fixedPart <= 0) {
+    options_ = terms;
+    if (options_.fixedPart <= 0) {
         fixedSince_.reset();
     } else if (!fixedSince_) {
         fixedSince_ = now;
@@ -45,7 +45,7 @@
 void RetryCredit::refill(Account &account, SteadyTime now) const
 {
     const std::chrono::duration<double> passed = now - account.refilledAt;
-    account.level += terms_.refillShare * terms_.fixedPart * (passed / terms_.window);
+    account.level += options_.refillShare * options_.fixedPart * (passed / options_.window);
     account.refilledAt = now;
 }
 
@@ -53,11 +53,11 @@
 /// arrive together with as much again.
 void RetryCredit::limit(Account &account, SteadyTime now) const
 {
-    while (!account.firsts.empty() && account.firsts.front() < now - terms_.window) {
+    while (!account.firsts.empty() && account.firsts.front() < now - options_.window) {
         account.firsts.pop_front();
     }
-    const double saved = terms_.savedShare * terms_.ratio * static_cast<double>(account.firsts.size());
-    const double kept = saved + terms_.keptShare * terms_.fixedPart + terms_.rounding;
+    const double saved = options_.savedShare * options_.ratio * static_cast<double>(account.firsts.size());
+    const double kept = saved + options_.keptShare * options_.fixedPart + options_.rounding;
     account.level = std::min(account.level, kept - account.underWay);
 }
 
@@ -66,7 +66,7 @@
     const auto [entry, added] = accounts_.try_emplace(service);
     Account &account = entry->second;
     if (added) {
-        account.level = terms_.rounding;
+        account.level = options_.rounding;
         account.refilledAt = fixedSince_.value_or(now);
     }
     refill(account, now);
@@ -78,7 +78,7 @@
 {
     Account &sent = accountAt(service, now);
     sent.firsts.push_back(now);
-    sent.level += (1 - terms_.savedShare) * terms_.ratio;
+    sent.level += (1 - options_.savedShare) * options_.ratio;
     limit(sent, now);
 }
 
--- a/src/portpaddle/retries/retry_credit.h
+++ b/src/portpaddle/retries/retry_credit.h
@@ -26,7 +26,7 @@
 std::string_view nameOf(RetryPayment payment);
 
 /// The budget of one daemon for each service.
-struct RetryBudgetTerms
+struct RetryBudgetOptions
 {
     /// Repeats allowed per first send.
     double ratio = 0.1;
@@ -42,7 +42,7 @@
     double keptShare = 0.5;
     double refillShare = 0.4;
 
-    bool operator==(const RetryBudgetTerms &) const = default;
+    bool operator==(const RetryBudgetOptions &) const = default;
 };
 
 /// Holds the credit for repeats of each service. Belongs to one event loop.
@@ -53,7 +53,7 @@
 class RetryCredit
 {
 public:
-    void setTerms(const RetryBudgetTerms &terms, SteadyTime now);
+    void setOptions(const RetryBudgetOptions &terms, SteadyTime now);
     void recordFirstAttempt(const std::string &service, SteadyTime now);
     /// How many repeats are left now; below zero where runs that went on elsewhere took more.
     double left(const std::string &service, SteadyTime now);
@@ -84,7 +84,7 @@
     /// Drops what may not be kept.
     void limit(Account &account, SteadyTime now) const;
 
-    RetryBudgetTerms terms_;
+    RetryBudgetOptions options_;
     /// Since when there has been a fixed part.
     std::optional<SteadyTime> fixedSince_;
     std::unordered_map<std::string, Account> accounts_;
--- a/tests/gateway/bounds_tests.cpp
+++ b/tests/gateway/bounds_tests.cpp
@@ -37,7 +37,7 @@
     unsigned total = 0;
     for (unsigned index = 0; index < daemons; ++index) {
         ColdGate gate;
-        gate.setTerms(terms);
+        gate.setOptions(terms);
         total += taken(gate, start + 5s, 100);
     }
     CHECK(total <= 8);
@@ -50,7 +50,7 @@
     unsigned total = 0;
     for (unsigned index = 0; index < daemons; ++index) {
         ColdGate gate;
-        gate.setTerms({ 1.5, 3, daemons, start });
+        gate.setOptions({ 1.5, 3, daemons, start });
         for (int send = 0; send < 20; ++send) {
             const bool owner = index == 17;
             if (gate.allows("u", 3.3, owner, start + 5s)) {
@@ -67,18 +67,18 @@
 TEST_CASE("Cold gate, first second of a process on the list, is closed because an earlier process may have spent its share")
 {
     ColdGate gate;
-    gate.setTerms({ 1.5, 3, 2, start });
+    gate.setOptions({ 1.5, 3, 2, start });
     CHECK(taken(gate, start + 900ms, 10) == 0);
-    gate.setTerms({ 1.5, 3, 2, std::nullopt });
+    gate.setOptions({ 1.5, 3, 2, std::nullopt });
     CHECK(taken(gate, start + 1200ms, 10) == 0);
-    gate.setTerms({ 1.5, 3, 2, start });
+    gate.setOptions({ 1.5, 3, 2, start });
     CHECK(taken(gate, start + 1200ms, 10) > 0);
 }
 
 TEST_CASE("Cold gate, any second, sees no more than the share")
 {
     ColdGate gate;
-    gate.setTerms({ 1.5, 3, 1, start - 1h });
+    gate.setOptions({ 1.5, 3, 1, start - 1h });
     std::vector<SteadyTime> sends;
     for (SteadyTime now = start; now < start + 10s; now += 10ms) {
         for (unsigned count = taken(gate, now, 3); count > 0; --count) {
@@ -101,7 +101,7 @@
     unsigned repeats = 0;
     for (unsigned daemon = 0; daemon < daemons; ++daemon) {
         RetryCredit credit;
-        credit.setTerms({ .ratio = 0.2, .fixedPart = 54.0 / daemons }, start - 10s);
+        credit.setOptions({ .ratio = 0.2, .fixedPart = 54.0 / daemons }, start - 10s);
         for (unsigned request = 0; request < requests; ++request) {
             credit.recordFirstAttempt("s", start + request * 100ms);
         }
@@ -116,7 +116,7 @@
 
 TEST_CASE("Retry credit, shares that are kept and that come back, are no more than the whole together")
 {
-    const RetryBudgetTerms terms;
+    const RetryBudgetOptions terms;
     CHECK(terms.keptShare + terms.refillShare <= 1);
     CHECK(terms.savedShare >= 0);
     CHECK(terms.savedShare <= 1);
@@ -125,7 +125,7 @@
 TEST_CASE("Retry credit, daemon that stood still for a minute, has what it may keep and no more")
 {
     RetryCredit credit;
-    credit.setTerms({ .ratio = 0.2, .fixedPart = 10 }, start);
+    credit.setOptions({ .ratio = 0.2, .fixedPart = 10 }, start);
     for (unsigned request = 0; request < 100; ++request) {
         credit.recordFirstAttempt("s", start);
     }
@@ -139,7 +139,7 @@
     unsigned repeats = 0;
     for (unsigned daemon = 0; daemon < daemons; ++daemon) {
         RetryCredit credit;
-        credit.setTerms({ .ratio = 0.2, .fixedPart = 54.0 / daemons }, start);
+        credit.setOptions({ .ratio = 0.2, .fixedPart = 54.0 / daemons }, start);
         // All callers are at this daemon in this second of the window.
         for (unsigned request = 0; request < requests; ++request) {
             credit.recordFirstAttempt("s", start + std::chrono::seconds(daemon));
@@ -155,7 +155,7 @@
 TEST_CASE("Retry credit, first sends that left the window, no longer allow repeats")
 {
     RetryCredit credit;
-    credit.setTerms({ .ratio = 0.5 }, start);
+    credit.setOptions({ .ratio = 0.5 }, start);
     for (unsigned request = 0; request < 4; ++request) {
         credit.recordFirstAttempt("s", start);
     }
@@ -166,7 +166,7 @@
 TEST_CASE("Retry credit, repeat that was taken, is not taken twice")
 {
     RetryCredit credit;
-    credit.setTerms({ .ratio = 0.5 }, start);
+    credit.setOptions({ .ratio = 0.5 }, start);
     for (unsigned request = 0; request < 4; ++request) {
         credit.recordFirstAttempt("s", start);
     }
@@ -179,7 +179,7 @@
 TEST_CASE("Retry credit, repeats that are held up on their way, are followed by few others")
 {
     RetryCredit credit;
-    credit.setTerms({ .ratio = 0.2 }, start);
+    credit.setOptions({ .ratio = 0.2 }, start);
     unsigned underWay = 0;
     for (unsigned request = 0; request < 1'000; ++request) {
         const SteadyTime now = start + request * 100ms;
@@ -193,7 +193,7 @@
 TEST_CASE("Retry credit, repeat that was not sent, is given back")
 {
     RetryCredit credit;
-    credit.setTerms({ .ratio = 0.5 }, start);
+    credit.setOptions({ .ratio = 0.5 }, start);
     for (unsigned request = 0; request < 4; ++request) {
         credit.recordFirstAttempt("s", start);
     }
@@ -206,7 +206,7 @@
 TEST_CASE("Retry credit, run that goes on elsewhere, is charged to what is earned later")
 {
     RetryCredit credit;
-    credit.setTerms({ .ratio = 0.5 }, start);
+    credit.setOptions({ .ratio = 0.5 }, start);
     credit.forceRetry("s", start);
     credit.recordRetryArrival("s", start);
     for (unsigned request = 0; request < 4; ++request) {
@@ -219,11 +219,11 @@
 TEST_CASE("Retry credit, part of the fixed number that shrinks, is not spent any more")
 {
     RetryCredit credit;
-    credit.setTerms({ .ratio = 0.2, .fixedPart = 50 }, start - 100s);
+    credit.setOptions({ .ratio = 0.2, .fixedPart = 50 }, start - 100s);
     CHECK(credit.left("s", start) == doctest::Approx(25));
-    credit.setTerms({ .ratio = 0.2, .fixedPart = 5 }, start);
+    credit.setOptions({ .ratio = 0.2, .fixedPart = 5 }, start);
     CHECK(credit.left("s", start) == doctest::Approx(2.5));
-    credit.setTerms({ .ratio = 0.2 }, start);
+    credit.setOptions({ .ratio = 0.2 }, start);
     CHECK(credit.left("s", start) == doctest::Approx(0));
 }
 
--- a/tests/gateway/fleet_view_tests.cpp
+++ b/tests/gateway/fleet_view_tests.cpp
@@ -230,9 +230,9 @@
 TEST_CASE_FIXTURE(EntriesFixture,
                   "Retry budget, daemons that left the list, is divided by all that may still be spending in any data centre")
 {
-    GatewayTerms terms;
+    GatewayOptions terms;
     terms.dataCentres = 6;
-    gateway.setTerms(terms);
+    gateway.setOptions(terms);
     std::vector<DaemonRecord> daemons;
     for (int index = 0; index < 61; ++index) {
         daemons.push_back(daemonIn("d" + std::to_string(index), index < 11 ? "south" : "north"));
--- a/tests/gateway/hand_over_tests.cpp
+++ b/tests/gateway/hand_over_tests.cpp
@@ -32,7 +32,7 @@
     {
         terms.moveLead = Millis(0);
         terms.handOverLead = std::chrono::hours(2);
-        setTerms();
+        setOptions();
     }
 
     /// The stream of another daemon, seen to the end of this daemon's stop.
--- a/tests/gateway/organisation_limits_tests.cpp
+++ b/tests/gateway/organisation_limits_tests.cpp
@@ -162,7 +162,7 @@
     SeededRandom random(11);
     RegionLimit limit;
     SteadyTime now{ 1h };
-    limit.setTerms({ LimitUnit::Tokens, 100'000, 100'000, 200 }, 1, {}, now);
+    limit.setOptions({ LimitUnit::Tokens, 100'000, 100'000, 200 }, 1, {}, now);
     DemandCounters honest;
     for (int round = 0; round < 200; ++round) {
         now += 100ms;
--- a/tests/gateway/request_path_tests.cpp
+++ b/tests/gateway/request_path_tests.cpp
@@ -199,7 +199,7 @@
 {
     GatewaySite site(GatewaySite::Routes::Unknown);
     site.terms.configurationWait = std::chrono::hours(1);
-    site.setTerms();
+    site.setOptions();
     ScriptedUpstream upstream(echo);
     site.addUpstream("u1", upstream.address());
     RawCaller caller(site.address());
@@ -266,7 +266,7 @@
 {
     terms.retryRatio = 0;
     terms.extraRetriesPerWindow = 0;
-    setTerms();
+    setOptions();
     begin(echoLate);
     CHECK(ask("/plain/a", "id1").status == 200);
     CHECK(asked == 1);
--- a/tests/gateway/retry_budget_tests.cpp
+++ b/tests/gateway/retry_budget_tests.cpp
@@ -28,7 +28,7 @@
         addUpstream("u2", second.address());
         terms.retryRatio = 0.2;
         terms.extraRetriesPerWindow = 100;
-        setTerms();
+        setOptions();
     }
 
     /// Sends so many requests and gives the arrivals beyond the first of each.
--- a/tests/gateway/saved_repeats_tests.cpp
+++ b/tests/gateway/saved_repeats_tests.cpp
@@ -65,7 +65,7 @@
             daemon->addUpstream("u2", right.address());
             daemon->terms.retryRatio = 0.2;
             daemon->terms.extraRetriesPerWindow = 0;
-            daemon->setTerms();
+            daemon->setOptions();
         }
     }
 
--- a/tests/support/gateway_site.cpp
+++ b/tests/support/gateway_site.cpp
@@ -168,7 +168,7 @@
     terms.extraRetriesPerWindow = 100;
     terms.moveLead = std::chrono::hours(1);
     terms.listSettling = std::chrono::milliseconds(0);
-    gateway_->setTerms(terms);
+    gateway_->setOptions(terms);
     keeper_ = std::make_unique<FleetKeeper>(view_, [this] { boost::asio::post(loop_, [this] { gateway_->viewChanged(); }); });
     listener_ = std::make_unique<SessionListener>(loop_.get_executor(), SessionPeer::Caller, *gateway_, 64);
     daemonListener_ = std::make_unique<SessionListener>(loop_.get_executor(), SessionPeer::Daemon, *gateway_, 64);
@@ -214,9 +214,9 @@
     thread_.join();
 }
 
-void GatewaySite::setTerms()
+void GatewaySite::setOptions()
 {
-    onLoop([this](Gateway &gateway) { gateway.setTerms(terms); });
+    onLoop([this](Gateway &gateway) { gateway.setOptions(terms); });
 }
 
 void GatewaySite::publishRoutes()
--- a/tests/support/gateway_site.h
+++ b/tests/support/gateway_site.h
@@ -84,9 +84,9 @@
     void removeDaemon(const std::string &id);
     /// The upstream takes no more requests and is gone in a moment.
     void announceEnd(const std::string &id, const std::string &address);
-    /// Bounds without which verdicts would hang on the speed of the machine are out of the way; call setTerms() after a change.
-    GatewayTerms terms;
-    void setTerms();
+    /// Bounds without which verdicts would hang on the speed of the machine are out of the way; call setOptions() after a change.
+    GatewayOptions terms;
+    void setOptions();
     /// Changes the routes before they are published; call publishRoutes() after.
     ServiceMap routes;
     void publishRoutes();
--- a/tests/support/limit_fleet.cpp
+++ b/tests/support/limit_fleet.cpp
@@ -89,7 +89,7 @@
 {
     named_ = perSecond;
     namedAt_ = now_;
-    gathered_.setTerms({ LimitUnit::Requests, std::max(perSecond, 0.01), 1, 0 }, 1, {}, now_);
+    gathered_.setOptions({ LimitUnit::Requests, std::max(perSecond, 0.01), 1, 0 }, 1, {}, now_);
 }
 
 double LimitFleet::worstPart(std::chrono::seconds after) const
--- a/tests/support/retry_ways.cpp
+++ b/tests/support/retry_ways.cpp
@@ -173,13 +173,13 @@
 
     void setPart(const RetryPart &part, SteadyTime now) override
     {
-        RetryBudgetTerms terms;
+        RetryBudgetOptions terms;
         terms.ratio = part.ratio;
         terms.fixedPart = part.fixed;
         terms.rounding = part.rounding;
         terms.window = part.window;
         terms.savedShare = savedShare_;
-        credit_.setTerms(terms, now);
+        credit_.setOptions(terms, now);
     }
 
     void recordFirstAttempt(SteadyTime now) override
@@ -224,7 +224,7 @@
     case RetryWay::OneBucket:
         return std::make_unique<BucketAccount>();
     case RetryWay::SharedCredit:
-        return std::make_unique<CreditAccount>(RetryBudgetTerms{}.savedShare);
+        return std::make_unique<CreditAccount>(RetryBudgetOptions{}.savedShare);
     case RetryWay::SharedCreditQuarter:
         return std::make_unique<CreditAccount>(quarter);
     case RetryWay::SharedCreditMost:
