--- a/benchmarks/control_slopes.cpp
+++ b/benchmarks/control_slopes.cpp
@@ -155,7 +155,7 @@
     /// Ages of the digests that arrive in the largest data centre.
     void collectAges(double &sum, double &count)
     {
-        for (const UpstreamDigest &report : network_.node(nameOf(0, 0)).takeNews().upstreams) {
+        for (const UpstreamDigest &report : network_.node(nameOf(0, 0)).takeUpdates().upstreams) {
             sum += static_cast<double>((network_.now - report.observedAt).count());
             count += 1;
         }
--- a/src/portpaddle/control/membership_controller.cpp
+++ b/src/portpaddle/control/membership_controller.cpp
@@ -142,12 +142,12 @@
         }
         const Millis now = parts_.clock.monotonic();
         std::vector<Datagram> out;
-        GossipNews news;
+        GossipUpdates news;
         {
             const std::lock_guard lock(mutex_);
             tellPeriodically(now);
             out = node_->tick(now);
-            news = node_->takeNews();
+            news = node_->takeUpdates();
         }
         send(out);
         publish(news, now);
@@ -257,7 +257,7 @@
     return table;
 }
 
-void MembershipController::publish(const GossipNews &news, Millis now)
+void MembershipController::publish(const GossipUpdates &news, Millis now)
 {
     takeDigests(news.upstreams);
     if (news.settingsVersion > 0) {
--- a/src/portpaddle/control/membership_controller.h
+++ b/src/portpaddle/control/membership_controller.h
@@ -59,7 +59,7 @@
     void tellPeriodically(Millis now);
     std::shared_ptr<SummaryTable> namedSummaries(const std::map<std::string, DataCentreSummary> &summaries) const;
     void takeDigests(const std::vector<UpstreamDigest> &digests);
-    void publish(const GossipNews &news, Millis now);
+    void publish(const GossipUpdates &news, Millis now);
 
     MembershipParts parts_;
     int socket_ = -1;
--- a/src/portpaddle/crashes/crash_news.cpp
+++ b/src/portpaddle/crashes/crash_digests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/crashes/crash_news.h"
+#include "portpaddle/crashes/crash_digests.h"
 
 #include "portpaddle/gateway/load_digest.h"
 #include "portpaddle/routing/rendezvous.h"
@@ -70,25 +70,25 @@
     return std::min(most, static_cast<std::size_t>(before));
 }
 
-CrashNews::CrashNews(std::string ownId) : ownId_(std::move(ownId))
+CrashDigests::CrashDigests(std::string ownId) : ownId_(std::move(ownId))
 {
 }
 
-void CrashNews::endedUnder(const RequestFingerprint &request, std::uint64_t upstream)
+void CrashDigests::endedUnder(const RequestFingerprint &request, std::uint64_t upstream)
 {
     if (ended_.size() < mostWaiting) {
         ended_.push_back({ Wire::EndedUnder(toWire(request), upstream), timesTold });
     }
 }
 
-void CrashNews::quarantined(const RequestFingerprint &request)
+void CrashDigests::quarantined(const RequestFingerprint &request)
 {
     if (quarantined_.size() < mostWaiting) {
         quarantined_.push_back({ toWire(request), timesTold });
     }
 }
 
-std::vector<std::string> CrashNews::counting(const FleetView &view, const RequestFingerprint &request) const
+std::vector<std::string> CrashDigests::counting(const FleetView &view, const RequestFingerprint &request) const
 {
     std::map<std::string, std::vector<std::pair<double, const DaemonRecord *>>> regions;
     for (const DaemonRecord &daemon : view.daemons) {
@@ -109,7 +109,7 @@
     return links;
 }
 
-std::vector<OutgoingDigest> CrashNews::due(const FleetView &view, const Wire::LoadDigestT &header)
+std::vector<OutgoingDigest> CrashDigests::due(const FleetView &view, const Wire::LoadDigestT &header)
 {
     std::vector<OutgoingDigest> out;
     if (ended_.empty() && quarantined_.empty()) {
@@ -122,7 +122,7 @@
     return out;
 }
 
-void CrashNews::addEnded(const FleetView &view, const Wire::LoadDigestT &header, std::vector<OutgoingDigest> &out)
+void CrashDigests::addEnded(const FleetView &view, const Wire::LoadDigestT &header, std::vector<OutgoingDigest> &out)
 {
     std::map<std::string, std::vector<Wire::EndedUnder>> byLink;
     for (const Wire::EndedUnder &ended : takeDue<Wire::EndedUnder>(ended_)) {
@@ -139,7 +139,7 @@
     }
 }
 
-void CrashNews::addQuarantined(const FleetView &view, const Wire::LoadDigestT &header, std::vector<OutgoingDigest> &out)
+void CrashDigests::addQuarantined(const FleetView &view, const Wire::LoadDigestT &header, std::vector<OutgoingDigest> &out)
 {
     std::vector<std::string> links;
     for (const DaemonRecord &daemon : view.daemons) {
--- a/src/portpaddle/crashes/crash_news.h
+++ b/src/portpaddle/crashes/crash_digests.h
@@ -21,10 +21,10 @@
 std::size_t countingRank(const FleetView &view, std::string_view daemon, const RequestFingerprint &request, std::size_t most);
 
 /// Tells each thing several times, as datagrams are lost. Belongs to one event loop.
-class CrashNews
+class CrashDigests
 {
 public:
-    explicit CrashNews(std::string ownId);
+    explicit CrashDigests(std::string ownId);
 
     /// For the daemons that count for @p request.
     void endedUnder(const RequestFingerprint &request, std::uint64_t upstream);
--- a/src/portpaddle/crashes/crash_guard.cpp
+++ b/src/portpaddle/crashes/crash_guard.cpp
@@ -148,7 +148,7 @@
     }
 }
 
-std::vector<OutgoingDigest> CrashGuard::dueNews(const Wire::LoadDigestT &header)
+std::vector<OutgoingDigest> CrashGuard::dueDigests(const Wire::LoadDigestT &header)
 {
     return view_ ? news_.due(*view_, header) : std::vector<OutgoingDigest>{};
 }
--- a/src/portpaddle/crashes/crash_guard.h
+++ b/src/portpaddle/crashes/crash_guard.h
@@ -4,8 +4,8 @@
 /// Notices upstreams that end while they run requests, and keeps requests that end them from being sent to any more.
 #pragma once
 
+#include "portpaddle/crashes/crash_digests.h"
 #include "portpaddle/crashes/crash_ledger.h"
-#include "portpaddle/crashes/crash_news.h"
 #include "portpaddle/crashes/crash_watch.h"
 #include "portpaddle/crashes/quarantine.h"
 #include "portpaddle/crashes/survivors.h"
@@ -48,7 +48,7 @@
     void setView(std::shared_ptr<const FleetView> view, SteadyTime now);
     void takeNews(const Wire::LoadDigestT &digest, SteadyTime now);
     /// What to tell other daemons; call once in each interval. @p header has the sender.
-    std::vector<OutgoingDigest> dueNews(const Wire::LoadDigestT &header);
+    std::vector<OutgoingDigest> dueDigests(const Wire::LoadDigestT &header);
     void tick(SteadyTime now);
 
 private:
@@ -69,7 +69,7 @@
     CrashWatch watch_;
     CrashLedger ledger_;
     Quarantine quarantine_;
-    CrashNews news_;
+    CrashDigests news_;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/fleet/fleet_news.cpp
+++ b/src/portpaddle/fleet/fleet_news.cpp
@@ -5,7 +5,7 @@
 
 #include "portpaddle/fleet/role_ranking.h"
 #include "portpaddle/gateway/load_digest.h"
-#include "portpaddle/limits/limit_news.h"
+#include "portpaddle/limits/limit_digest.h"
 #include "portpaddle/routing/rendezvous.h"
 
 #include <algorithm>
@@ -248,7 +248,7 @@
     case Wire::DigestKind::UpstreamLimits:
         break;
     case Wire::DigestKind::Report:
-        loads_.takeDigest(digest, now);
+        loads_.applyDigest(digest, now);
         limits_.takeCounts(digest.daemon, digest.limit_counts, now);
         for (const Wire::PlacedPart &part : digest.placed) {
             addPart(parts_.at(shardOf(part.upstream())), part);
--- a/src/portpaddle/fleet/fleet_news.h
+++ b/src/portpaddle/fleet/fleet_news.h
@@ -25,7 +25,7 @@
 };
 
 /// How often a daemon reports and a gatherer tells sums.
-inline constexpr std::chrono::milliseconds newsInterval{ 100 };
+inline constexpr std::chrono::milliseconds digestInterval{ 100 };
 /// Daemons of which one digest tells; the window moves on from digest to digest.
 inline constexpr std::size_t mostDigestMembers = 48;
 /// Parts that one digest passes on from another region.
--- a/src/portpaddle/gateway/gateway.h
+++ b/src/portpaddle/gateway/gateway.h
@@ -94,21 +94,21 @@
     /// Has the limits that upstreams name written to the platform.
     void setLimitRecord(UpstreamLimits::WriteRecord write);
     /// What to tell other daemons of requests that upstreams ended under; call once in each interval.
-    std::vector<OutgoingDigest> dueCrashNews();
+    std::vector<OutgoingDigest> dueCrashDigests();
     /// The same of the limits that upstreams name.
-    std::vector<OutgoingDigest> dueLimitNews();
+    std::vector<OutgoingDigest> dueLimitDigests();
     /// Answers other daemons that ask for what the store told; must outlive the gateway.
     void setPeerQuestions(PeerQuestions *questions);
     /// A newer view was published.
     void viewChanged();
     void setDigestInterval(std::chrono::milliseconds interval);
-    void takeDigest(const Wire::LoadDigestT &digest);
+    void applyDigest(const Wire::LoadDigestT &digest);
     /// Parts of prompts placed until now are told in the digests that follow, up to the next call.
     void beginDigestRound(DigestReach reach);
     /// What to tell now, each to be sent in a datagram of its own.
     std::vector<Wire::LoadDigestT> digests(DigestReach reach);
     /// What a daemon of a fleet that has gatherers tells at this turn; see FleetNews.
-    std::vector<OutgoingDigest> dueNews(std::size_t turn);
+    std::vector<OutgoingDigest> dueFleetDigests(std::size_t turn);
     /// Housekeeping, a few times a second.
     void tick();
     /// From now on answers close their connections, and requests are refused that may not be over in time.
--- a/src/portpaddle/gateway/gateway_news.cpp
+++ b/src/portpaddle/gateway/gateway_news.cpp
@@ -6,7 +6,7 @@
 #include "portpaddle/gateway/gateway.h"
 #include "portpaddle/gateway/load_digest.h"
 #include "portpaddle/gateway/service_summary.h"
-#include "portpaddle/limits/limit_news.h"
+#include "portpaddle/limits/limit_digest.h"
 
 namespace Portpaddle {
 
@@ -15,7 +15,7 @@
     regions_.setDigestInterval(interval);
 }
 
-void Gateway::takeDigest(const Wire::LoadDigestT &digest)
+void Gateway::applyDigest(const Wire::LoadDigestT &digest)
 {
     const SteadyTime now = BootClock::now();
     if (digest.daemon == identity_.id) {
@@ -29,11 +29,11 @@
         upstreamLimits_.takeNews(digest, now);
         return;
     }
-    regions_.takeDigest(digest, now);
+    regions_.applyDigest(digest, now);
     if (digest.kind != Wire::DigestKind::Direct) {
         news_.take(digest, now);
     } else if (digest.region == identity_.region) {
-        loads_.takeDigest(digest, now);
+        loads_.applyDigest(digest, now);
         organisationLimits_.takeCounts(digest.daemon, digest.limit_counts, now);
     } else {
         organisationLimits_.takeDemands(digest.region, digest.limit_demands, now);
@@ -54,7 +54,7 @@
     const auto shares = reach == DigestReach::OwnRegion ? loads_.shares(now) : std::vector<Wire::UpstreamShare>{};
     std::vector<Wire::LoadDigestT> result = splitIntoDigests(header, shares, roundParts_.at(static_cast<std::size_t>(reach)));
     const auto all = [](std::uint32_t) { return true; };
-    LimitNews limits;
+    LimitDigest limits;
     if (reach == DigestReach::OwnRegion) {
         limits.counts = organisationLimits_.counts(all, now);
     } else {
@@ -65,7 +65,7 @@
     return result;
 }
 
-std::vector<OutgoingDigest> Gateway::dueNews(std::size_t turn)
+std::vector<OutgoingDigest> Gateway::dueFleetDigests(std::size_t turn)
 {
     const SteadyTime now = BootClock::now();
     const auto addWaits = [this, now](Wire::LoadDigestT &digest) { addServiceWaits(digest, now); };
@@ -76,14 +76,14 @@
     return due;
 }
 
-std::vector<OutgoingDigest> Gateway::dueCrashNews()
+std::vector<OutgoingDigest> Gateway::dueCrashDigests()
 {
-    return crashes_.dueNews(digestHeader());
+    return crashes_.dueDigests(digestHeader());
 }
 
-std::vector<OutgoingDigest> Gateway::dueLimitNews()
+std::vector<OutgoingDigest> Gateway::dueLimitDigests()
 {
-    return upstreamLimits_.dueNews(digestHeader(), BootClock::now());
+    return upstreamLimits_.dueDigests(digestHeader(), BootClock::now());
 }
 
 Wire::LoadDigestT Gateway::digestHeader() const
--- a/src/portpaddle/gateway/gateway_server.cpp
+++ b/src/portpaddle/gateway/gateway_server.cpp
@@ -163,7 +163,7 @@
         if (!error) {
             const Result<Wire::LoadDigestT> digest = decodeDigest(std::span(received_.data(), size));
             if (isOk(digest)) {
-                gateway_.takeDigest(valueOf(digest));
+                gateway_.applyDigest(valueOf(digest));
             }
         }
         receiveDatagram();
@@ -173,10 +173,10 @@
 void GatewayServer::tellLoad()
 {
     const std::shared_ptr<const FleetView> view = gateway_.view();
-    send(gateway_.dueCrashNews());
-    send(gateway_.dueLimitNews());
+    send(gateway_.dueCrashDigests());
+    send(gateway_.dueLimitDigests());
     if (sharesWork(*view)) {
-        sendNews();
+        sendDigests();
         return;
     }
     std::vector<const DaemonRecord *> local;
@@ -235,10 +235,10 @@
     return datagrams;
 }
 
-void GatewayServer::sendNews()
+void GatewayServer::sendDigests()
 {
-    gateway_.setDigestInterval(newsInterval);
-    send(gateway_.dueNews(tickNumber_));
+    gateway_.setDigestInterval(digestInterval);
+    send(gateway_.dueFleetDigests(tickNumber_));
 }
 
 void GatewayServer::send(const std::vector<OutgoingDigest> &digests)
--- a/src/portpaddle/gateway/gateway_server.h
+++ b/src/portpaddle/gateway/gateway_server.h
@@ -64,7 +64,7 @@
     void sendLocalDigests(const std::vector<const DaemonRecord *> &daemons);
     void sendRemoteDigests(const std::vector<const DaemonRecord *> &daemons);
     std::vector<std::vector<std::uint8_t>> encodedDigests(DigestReach reach);
-    void sendNews();
+    void sendDigests();
     void send(const std::vector<OutgoingDigest> &digests);
     void sendTo(const std::string &address, const std::vector<std::vector<std::uint8_t>> &datagrams);
 
--- a/src/portpaddle/gateway/load_digest.cpp
+++ b/src/portpaddle/gateway/load_digest.cpp
@@ -3,7 +3,7 @@
 
 #include "portpaddle/gateway/load_digest.h"
 
-#include "portpaddle/limits/limit_news.h"
+#include "portpaddle/limits/limit_digest.h"
 
 #include <algorithm>
 
--- a/src/portpaddle/gateway/region_table.cpp
+++ b/src/portpaddle/gateway/region_table.cpp
@@ -46,7 +46,7 @@
     ownRegion_ = std::move(region);
 }
 
-void RegionTable::takeDigest(const Wire::LoadDigestT &digest, SteadyTime now)
+void RegionTable::applyDigest(const Wire::LoadDigestT &digest, SteadyTime now)
 {
     if (peers_.size() >= mostPeers && !peers_.contains(digest.daemon)) {
         return;
--- a/src/portpaddle/gateway/region_table.h
+++ b/src/portpaddle/gateway/region_table.h
@@ -32,7 +32,7 @@
     void setDaemons(const FleetView &view, SteadyTime now);
     /// In which some daemon is listed.
     const std::set<std::string> &listedRegions() const;
-    void takeDigest(const Wire::LoadDigestT &digest, SteadyTime now);
+    void applyDigest(const Wire::LoadDigestT &digest, SteadyTime now);
     /// What a gatherer heard of other daemons.
     void takeMembers(std::span<const Wire::MemberNews> members, SteadyTime now);
     /// What a gatherer of another region told of it.
--- a/src/portpaddle/gateway/upstream_loads.cpp
+++ b/src/portpaddle/gateway/upstream_loads.cpp
@@ -290,7 +290,7 @@
     return id == idsByKey_.end() ? nullptr : &states_[id->second];
 }
 
-void UpstreamLoads::takeDigest(const Wire::LoadDigestT &digest, SteadyTime now)
+void UpstreamLoads::applyDigest(const Wire::LoadDigestT &digest, SteadyTime now)
 {
     for (const Wire::UpstreamShare &share : digest.upstreams) {
         if (State *state = stateByKey(share.key())) {
--- a/src/portpaddle/gateway/upstream_loads.h
+++ b/src/portpaddle/gateway/upstream_loads.h
@@ -63,7 +63,7 @@
     void ended(LoadTicket &ticket, LoadOutcome outcome, SteadyTime now);
     void connectFailed(const std::string &upstream, SteadyTime now);
 
-    void takeDigest(const Wire::LoadDigestT &digest, SteadyTime now);
+    void applyDigest(const Wire::LoadDigestT &digest, SteadyTime now);
     /// Takes sums that include what this daemon last told their gatherer with told().
     void takeSums(const Wire::LoadDigestT &digest, SteadyTime now);
     /// What this daemon has sent and is not answered yet, by upstream. One that all requests left is told a while longer.
--- a/src/portpaddle/limits/limit_news.cpp
+++ b/src/portpaddle/limits/limit_digest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/limits/limit_news.h"
+#include "portpaddle/limits/limit_digest.h"
 
 #include <algorithm>
 #include <iterator>
@@ -28,7 +28,7 @@
 }
 
 /// One kind at a time, so that a full one still fits.
-void fill(Wire::LoadDigestT &digest, LimitNews &news)
+void fill(Wire::LoadDigestT &digest, LimitDigest &news)
 {
     if (!news.counts.empty()) {
         moveSome(news.counts, digest.limit_counts);
@@ -41,12 +41,12 @@
 
 } // namespace
 
-bool LimitNews::empty() const
+bool LimitDigest::empty() const
 {
     return counts.empty() && grants.empty() && demands.empty();
 }
 
-void attachLimits(std::vector<Wire::LoadDigestT> &digests, const Wire::LoadDigestT &header, LimitNews news)
+void attachLimits(std::vector<Wire::LoadDigestT> &digests, const Wire::LoadDigestT &header, LimitDigest news)
 {
     for (Wire::LoadDigestT &digest : digests) {
         if (!news.empty() && entryBytes(digest) <= roomyBytes) {
--- a/src/portpaddle/limits/limit_news.h
+++ b/src/portpaddle/limits/limit_digest.h
@@ -15,7 +15,7 @@
 inline constexpr std::size_t mostDigestLimits = 24;
 
 /// What one daemon tells of limits at one time.
-struct LimitNews
+struct LimitDigest
 {
     std::vector<Wire::LimitCount> counts;
     std::vector<Wire::LimitGrant> grants;
@@ -25,6 +25,6 @@
 };
 
 /// Spreads @p news over @p digests where these have room, and over more of them like @p header. Their sequence goes on.
-void attachLimits(std::vector<Wire::LoadDigestT> &digests, const Wire::LoadDigestT &header, LimitNews news);
+void attachLimits(std::vector<Wire::LoadDigestT> &digests, const Wire::LoadDigestT &header, LimitDigest news);
 
 } // namespace Portpaddle
--- a/src/portpaddle/membership/gossip_node.cpp
+++ b/src/portpaddle/membership/gossip_node.cpp
@@ -168,9 +168,9 @@
     }
 }
 
-GossipNews GossipNode::takeNews()
+GossipUpdates GossipNode::takeUpdates()
 {
-    return std::exchange(news_, GossipNews{});
+    return std::exchange(news_, GossipUpdates{});
 }
 
 MemberTable GossipNode::memberTable(Millis now) const
--- a/src/portpaddle/membership/gossip_node.h
+++ b/src/portpaddle/membership/gossip_node.h
@@ -41,7 +41,7 @@
 };
 
 /// What the node learned that others act on.
-struct GossipNews
+struct GossipUpdates
 {
     std::vector<UpstreamDigest> upstreams;
     bool membersChanged = false;
@@ -73,7 +73,7 @@
     /// Tells the data centre what organisations ask of this daemon, and everyone the total, for those it speaks for.
     void tellDemand(const std::vector<OwnDemand> &demand, Millis now);
 
-    GossipNews takeNews();
+    GossipUpdates takeUpdates();
     MemberTable memberTable(Millis now) const;
     /// The newest summary of each data centre, by its name.
     const std::map<std::string, DataCentreSummary> &summaries() const;
@@ -132,7 +132,7 @@
     std::vector<Probe> probes_;
     std::map<std::uint32_t, Relay> relays_;
     std::unordered_map<std::string, Millis> dataCentreHeardAt_;
-    GossipNews news_;
+    GossipUpdates news_;
     std::uint64_t settingsVersion_ = 0;
     std::uint32_t sequence_ = 0;
     std::uint64_t demandSequence_ = 0;
--- a/src/portpaddle/upstream_limits/upstream_limits.cpp
+++ b/src/portpaddle/upstream_limits/upstream_limits.cpp
@@ -261,7 +261,7 @@
     }
 }
 
-std::vector<OutgoingDigest> UpstreamLimits::dueNews(const Wire::LoadDigestT &header, SteadyTime now)
+std::vector<OutgoingDigest> UpstreamLimits::dueDigests(const Wire::LoadDigestT &header, SteadyTime now)
 {
     std::vector<OutgoingDigest> out;
     Wire::LoadDigestT digest = header;
--- a/src/portpaddle/upstream_limits/upstream_limits.h
+++ b/src/portpaddle/upstream_limits/upstream_limits.h
@@ -61,7 +61,7 @@
     std::optional<SteadyTime::duration> interval(std::span<const std::string *const> upstreams, SteadyTime now) const;
     void takeNews(const Wire::LoadDigestT &digest, SteadyTime now);
     /// What to tell other daemons; call once in each interval. @p header has the sender.
-    std::vector<OutgoingDigest> dueNews(const Wire::LoadDigestT &header, SteadyTime now);
+    std::vector<OutgoingDigest> dueDigests(const Wire::LoadDigestT &header, SteadyTime now);
     /// Call a few times a second.
     void tick(SteadyTime now);
 
--- a/tests/gateway/crash_guard_tests.cpp
+++ b/tests/gateway/crash_guard_tests.cpp
@@ -8,8 +8,8 @@
 #include "support/scripted_store.h"
 #include "support/scripted_upstream.h"
 
+#include "portpaddle/crashes/crash_digests.h"
 #include "portpaddle/crashes/crash_ledger.h"
-#include "portpaddle/crashes/crash_news.h"
 #include "portpaddle/crashes/crash_watch.h"
 #include "portpaddle/crashes/quarantine.h"
 #include "portpaddle/crashes/quarantine_record.h"
@@ -69,7 +69,7 @@
 
     void takeNews()
     {
-        onLoop([this](Gateway &gateway) { gateway.takeDigest(news); });
+        onLoop([this](Gateway &gateway) { gateway.applyDigest(news); });
     }
 
     /// What another daemon tells of the request "body" at "/plain/a".
@@ -220,7 +220,7 @@
 TEST_CASE("Crash news, several regions, go three times to two daemons of each that count for the request")
 {
     const FleetView view = fleet(3, 4);
-    CrashNews news("d-0-0");
+    CrashDigests news("d-0-0");
     news.endedUnder(bad, 7);
     std::set<std::string> told;
     for (unsigned turn = 0; turn < 3; ++turn) {
@@ -236,7 +236,7 @@
     CHECK(told.size() >= 6);
     CHECK(told.size() <= 7);
     // Another daemon names the same ones.
-    CrashNews elsewhere("d-1-1");
+    CrashDigests elsewhere("d-1-1");
     elsewhere.endedUnder(bad, 8);
     for (const OutgoingDigest &outgoing : elsewhere.due(view, {})) {
         CHECK(told.contains(outgoing.to.front()));
@@ -246,7 +246,7 @@
 TEST_CASE("Crash news, an upstream with hundreds of requests ended, each digest fits a datagram and is taken")
 {
     const FleetView view = fleet(1, 3);
-    CrashNews news("d-0-0");
+    CrashDigests news("d-0-0");
     for (std::uint64_t index = 0; index < 500; ++index) {
         news.endedUnder({ index, index * index }, 7);
         news.quarantined({ index, index });
--- a/tests/gateway/fleet_news_tests.cpp
+++ b/tests/gateway/fleet_news_tests.cpp
@@ -53,7 +53,7 @@
             , news(id, region, loads, regions, limits)
         {
             regions.setOwnRegion(region);
-            regions.setDigestInterval(newsInterval);
+            regions.setDigestInterval(digestInterval);
         }
 
         UpstreamLoads loads;
@@ -130,7 +130,7 @@
         const Result<Wire::LoadDigestT> digest = decodeDigest(datagram);
         REQUIRE(isOk(digest));
         if (!to.dead) {
-            to.regions.takeDigest(valueOf(digest), now);
+            to.regions.applyDigest(valueOf(digest), now);
             to.news.take(valueOf(digest), now);
         }
     }
@@ -373,7 +373,7 @@
         digest.sequence = ++sequence;
         digest.phase = phase;
         digest.services.emplace_back(serviceKey("s"), 0, 0, 0, 1, 100.0F, 0.0F, 4.0F);
-        table.takeDigest(digest, start);
+        table.applyDigest(digest, start);
     }
 
     std::vector<std::string> regionsOffered() const
--- a/tests/gateway/fleet_view_tests.cpp
+++ b/tests/gateway/fleet_view_tests.cpp
@@ -90,7 +90,7 @@
         digest.region = region;
         digest.sequence = ++sequence;
         digest.phase = phase;
-        gateway.takeDigest(digest);
+        gateway.applyDigest(digest);
     }
 
     boost::asio::io_context loop;
--- a/tests/gateway/organisation_limits_tests.cpp
+++ b/tests/gateway/organisation_limits_tests.cpp
@@ -7,7 +7,7 @@
 
 #include "portpaddle/base/system_clock.h"
 #include "portpaddle/gateway/load_digest.h"
-#include "portpaddle/limits/limit_news.h"
+#include "portpaddle/limits/limit_digest.h"
 #include "portpaddle/limits/organisation_limits.h"
 
 #include <doctest/doctest.h>
@@ -128,7 +128,7 @@
     const std::vector<Wire::PlacedPart> parts(30);
     for (const std::size_t count : { 0U, 1U, 24U, 100U }) {
         std::vector<Wire::LoadDigestT> digests = splitIntoDigests(header, shares, parts);
-        LimitNews news;
+        LimitDigest news;
         news.counts.resize(count);
         news.grants.resize(count);
         news.demands.resize(count);
--- a/tests/gateway/placement_tests.cpp
+++ b/tests/gateway/placement_tests.cpp
@@ -274,7 +274,7 @@
     digest.daemon = "other";
     digest.upstreams = theirs.shares(now);
     digest.placed = theirs.takePlaced(DigestReach::OwnRegion);
-    mine.takeDigest(digest, now);
+    mine.applyDigest(digest, now);
     const UpstreamCandidate seen = mine.describe(engine, spec, promptOf(5'000, 1, 11), now + 500ms);
     CHECK(tokensAhead(seen, Urgency::Usual) == doctest::Approx(12'000).epsilon(64.0 / 12'000));
     CHECK(seen.running == 1);
@@ -304,7 +304,7 @@
         digest.daemon = "other";
         digest.upstreams = theirs.shares(now);
         digest.placed = theirs.takePlaced(DigestReach::OwnRegion);
-        mine.takeDigest(digest, now);
+        mine.applyDigest(digest, now);
     }
 
     UpstreamLoads mine;
--- a/tests/gateway/suspension_tests.cpp
+++ b/tests/gateway/suspension_tests.cpp
@@ -98,7 +98,7 @@
     digest.region = "north";
     digest.sequence = 1;
     digest.phase = Wire::DaemonPhase::Serving;
-    regions.takeDigest(digest, before);
+    regions.applyDigest(digest, before);
     REQUIRE_FALSE(regions.fellSilent("e", SteadyTime::clock::now()));
     const Suspension suspension(suspended);
     CHECK(regions.fellSilent("e", SteadyTime::clock::now()));
--- a/tests/gateway/upstream_limit_tests.cpp
+++ b/tests/gateway/upstream_limit_tests.cpp
@@ -172,14 +172,14 @@
 
 TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, daemon of its region that heard of it, is not asked")
 {
-    onLoop([](Gateway &gateway) { gateway.takeDigest(newsOf("u1", "north")); });
+    onLoop([](Gateway &gateway) { gateway.applyDigest(newsOf("u1", "north")); });
     CHECK(arrivalsOf(50) == 0);
 }
 
 TEST_CASE_FIXTURE(LimitedUpstreamFixture,
                   "Upstream with a limit by a daemon of another region, many requests, is asked as before")
 {
-    onLoop([](Gateway &gateway) { gateway.takeDigest(newsOf("u1", "south")); });
+    onLoop([](Gateway &gateway) { gateway.applyDigest(newsOf("u1", "south")); });
     CHECK(arrivalsOf(50) >= 10);
 }
 
--- a/tests/introspective/membership_tests.cpp
+++ b/tests/introspective/membership_tests.cpp
@@ -191,14 +191,14 @@
     report.sequence = 1;
     report.observedAt = network.now;
     report.load.running = 5;
-    network.node("n-a").takeNews();
-    network.node("n-b").takeNews();
-    network.node("s-a").takeNews();
+    network.node("n-a").takeUpdates();
+    network.node("n-b").takeUpdates();
+    network.node("s-a").takeUpdates();
     network.node("n-a").tellUpstream(report);
     network.pass(Millis{ 5'000 });
-    CHECK(network.node("n-b").takeNews().upstreams.size() == 1);
+    CHECK(network.node("n-b").takeUpdates().upstreams.size() == 1);
     for (const char *id : { "s-a", "s-b", "s-c" }) {
-        CHECK(network.node(id).takeNews().upstreams.empty());
+        CHECK(network.node(id).takeUpdates().upstreams.empty());
     }
 }
 
@@ -227,7 +227,7 @@
 {
     network.node("s-c").setSettingsVersion(9);
     for (const char *id : { "n-a", "n-b", "n-c", "s-a", "s-b" }) {
-        CHECK(network.passUntil(Millis{ 30'000 }, [&] { return network.node(id).takeNews().settingsVersion == 9; }));
+        CHECK(network.passUntil(Millis{ 30'000 }, [&] { return network.node(id).takeUpdates().settingsVersion == 9; }));
         network.node(id).setSettingsVersion(9);
     }
 }
@@ -310,7 +310,7 @@
             network.node("daemon-" + std::to_string(engine % 30)).tellUpstream(report);
         }
         network.pass(Millis{ 1'000 });
-        arrived += network.node("daemon-0").takeNews().upstreams.size();
+        arrived += network.node("daemon-0").takeUpdates().upstreams.size();
     }
     CHECK(arrived >= 20 * 77 / 4);
 }
--- a/tests/support/gateway_site.cpp
+++ b/tests/support/gateway_site.cpp
@@ -271,7 +271,7 @@
         for (const PromptPart &part : prompted.prompt.parts) {
             digest.placed.emplace_back(part.chainHash, 1, part.tokens);
         }
-        gateway.takeDigest(digest);
+        gateway.applyDigest(digest);
     });
 }
 
--- a/tests/support/limit_fleet.cpp
+++ b/tests/support/limit_fleet.cpp
@@ -223,7 +223,7 @@
     header.daemon = daemon.name;
     header.region = region;
     const bool cut = daemon.cutUntil > now_;
-    for (const OutgoingDigest &outgoing : daemon.limits->dueNews(header, now_)) {
+    for (const OutgoingDigest &outgoing : daemon.limits->dueDigests(header, now_)) {
         for (const std::string &to : outgoing.to) {
             if (!cut && random_.fraction() >= scenario_.troubles.loss) {
                 messages_.emplace(now_ + randomTime(longestNewsTime), Message{ to, outgoing.digest });
