--- a/src/portpaddle/crashes/crash_digests.h
+++ b/src/portpaddle/crashes/crash_digests.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "portpaddle/crashes/request_fingerprint.h"
-#include "portpaddle/fleet/fleet_news.h"
+#include "portpaddle/fleet/load_aggregation.h"
 
 #include <deque>
 #include <string>
--- a/src/portpaddle/fleet/gatherers.cpp
+++ b/src/portpaddle/fleet/aggregators.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/fleet/gatherers.h"
+#include "portpaddle/fleet/aggregators.h"
 
 #include "portpaddle/fleet/role_ranking.h"
 
@@ -18,11 +18,11 @@
 
 } // namespace
 
-Gatherers::Gatherers(std::string ownId, IsSilent isSilent) : ownId_(std::move(ownId)), isSilent_(std::move(isSilent))
+Aggregators::Aggregators(std::string ownId, IsSilent isSilent) : ownId_(std::move(ownId)), isSilent_(std::move(isSilent))
 {
 }
 
-void Gatherers::setView(std::shared_ptr<const FleetView> view)
+void Aggregators::setView(std::shared_ptr<const FleetView> view)
 {
     view_ = std::move(view);
     ranks_.clear();
@@ -31,13 +31,13 @@
             continue;
         }
         Ranks &ranks = ranks_[daemon.region];
-        for (unsigned shard = 0; shard < newsShards; ++shard) {
+        for (unsigned shard = 0; shard < aggregationShards; ++shard) {
             ranks.at(shard) = rankForRole(*view_, daemon.region, fmt::format("news {}", shard));
         }
     }
 }
 
-const DaemonRecord *Gatherers::of(const std::string &region, unsigned shard, SteadyTime now) const
+const DaemonRecord *Aggregators::of(const std::string &region, unsigned shard, SteadyTime now) const
 {
     const auto found = ranks_.find(region);
     if (found == ranks_.end()) {
@@ -51,20 +51,20 @@
     return nullptr;
 }
 
-bool Gatherers::isSelf(const DaemonRecord &daemon) const
+bool Aggregators::isSelf(const DaemonRecord &daemon) const
 {
     return daemon.id == ownId_;
 }
 
-bool Gatherers::isAvoided(const std::string &daemon, SteadyTime now) const
+bool Aggregators::isAvoided(const std::string &daemon, SteadyTime now) const
 {
     const auto found = responses_.find(daemon);
     return found != responses_.end() && now < found->second.avoidedUntil;
 }
 
-void Gatherers::reported(const std::string &gatherer, SteadyTime now)
+void Aggregators::reported(const std::string &aggregator, SteadyTime now)
 {
-    Response &response = responses_[gatherer];
+    Response &response = responses_[aggregator];
     // Another daemon was the gatherer in between: nothing was due from this one.
     const bool begins = now - response.lastReport > longestWait;
     response.lastReport = now;
@@ -75,14 +75,14 @@
     }
 }
 
-void Gatherers::heardSums(const std::string &gatherer, SteadyTime now)
+void Aggregators::heardSums(const std::string &aggregator, SteadyTime now)
 {
-    Response &response = responses_[gatherer];
+    Response &response = responses_[aggregator];
     response.awaitedSince = now;
     response.avoidedUntil = {};
 }
 
-std::vector<std::string> Gatherers::regions() const
+std::vector<std::string> Aggregators::regions() const
 {
     std::vector<std::string> names;
     names.reserve(ranks_.size());
--- a/src/portpaddle/fleet/gatherers.h
+++ b/src/portpaddle/fleet/aggregators.h
@@ -17,27 +17,27 @@
 namespace Portpaddle {
 
 /// Names a gatherer for each shard of each region, the best ranked one that is not known to be silent. Belongs to one event loop.
-class Gatherers
+class Aggregators
 {
 public:
     /// Whether a daemon was heard before and is not any more.
     using IsSilent = std::function<bool(const std::string &daemon, SteadyTime now)>;
 
-    Gatherers(std::string ownId, IsSilent isSilent);
+    Aggregators(std::string ownId, IsSilent isSilent);
 
     void setView(std::shared_ptr<const FleetView> view);
     /// Null where the region has no daemon that could.
     const DaemonRecord *of(const std::string &region, unsigned shard, SteadyTime now) const;
     bool isSelf(const DaemonRecord &daemon) const;
-    /// This daemon reported to @p gatherer, whose sums are awaited from now on.
-    void reported(const std::string &gatherer, SteadyTime now);
-    /// Sums came from @p gatherer.
-    void heardSums(const std::string &gatherer, SteadyTime now);
+    /// This daemon reported to @p aggregator, whose sums are awaited from now on.
+    void reported(const std::string &aggregator, SteadyTime now);
+    /// Sums came from @p aggregator.
+    void heardSums(const std::string &aggregator, SteadyTime now);
     /// All regions of the fleet.
     std::vector<std::string> regions() const;
 
 private:
-    using Ranks = std::array<std::vector<const DaemonRecord *>, newsShards>;
+    using Ranks = std::array<std::vector<const DaemonRecord *>, aggregationShards>;
 
     /// How a gatherer that was reported to answers.
     struct Response
--- a/src/portpaddle/fleet/fleet_news.cpp
+++ b/src/portpaddle/fleet/load_aggregation.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/fleet/fleet_news.h"
+#include "portpaddle/fleet/load_aggregation.h"
 
 #include "portpaddle/fleet/role_ranking.h"
 #include "portpaddle/gateway/load_digest.h"
@@ -18,7 +18,7 @@
 
 // Each of the shards takes its turn to tell other regions: their news cost bytes between regions and only steer what is sent
 // away.
-constexpr std::size_t turnsOfRegions = newsShards;
+constexpr std::size_t turnsOfRegions = aggregationShards;
 // Told for each shard and interval at most; the rest are found by their homes.
 constexpr std::size_t mostPartsOfShard = 4 * mostDigestParts;
 
@@ -64,20 +64,20 @@
 
 } // namespace
 
-FleetNews::FleetNews(std::string ownId, std::string ownRegion, UpstreamLoads &loads, RegionTable &regions,
-                     OrganisationLimits &limits)
+LoadAggregation::LoadAggregation(std::string ownId, std::string ownRegion, UpstreamLoads &loads, RegionTable &regions,
+                                 OrganisationLimits &limits)
     : ownId_(std::move(ownId))
     , ownRegion_(std::move(ownRegion))
     , loads_(loads)
     , regions_(regions)
     , limits_(limits)
-    , gatherers_(ownId_, [this](const std::string &daemon, SteadyTime now) { return regions_.fellSilent(daemon, now); })
+    , aggregators_(ownId_, [this](const std::string &daemon, SteadyTime now) { return regions_.fellSilent(daemon, now); })
     , localWindow_(stableHash(ownId_))
     , regionsWindow_(stableHash(ownId_))
 {
 }
 
-void FleetNews::setView(std::shared_ptr<const FleetView> view)
+void LoadAggregation::setView(std::shared_ptr<const FleetView> view)
 {
     view_ = std::move(view);
     members_.clear();
@@ -91,27 +91,27 @@
             memberLinks_.push_back(daemon.linkAddress);
         }
     }
-    if (sharesWork(*view_)) {
-        gatherers_.setView(view_);
+    if (usesAggregators(*view_)) {
+        aggregators_.setView(view_);
     }
 }
 
-std::vector<OutgoingDigest> FleetNews::due(std::size_t turn, const Wire::LoadDigestT &header,
-                                           const std::function<void(Wire::LoadDigestT &)> &addWaits, SteadyTime now)
+std::vector<OutgoingDigest> LoadAggregation::due(std::size_t turn, const Wire::LoadDigestT &header,
+                                                 const std::function<void(Wire::LoadDigestT &)> &addWaits, SteadyTime now)
 {
     std::vector<OutgoingDigest> out;
     collectParts();
-    std::array<std::vector<Wire::UpstreamShare>, newsShards> shares;
+    std::array<std::vector<Wire::UpstreamShare>, aggregationShards> shares;
     for (const Wire::UpstreamShare &share : loads_.shares(now)) {
         shares.at(shardOf(share.key())).push_back(share);
     }
-    for (unsigned shard = 0; shard < newsShards; ++shard) {
-        const DaemonRecord *gatherer = gatherers_.of(ownRegion_, shard, now);
-        if (gatherer == nullptr) {
+    for (unsigned shard = 0; shard < aggregationShards; ++shard) {
+        const DaemonRecord *aggregator = aggregators_.of(ownRegion_, shard, now);
+        if (aggregator == nullptr) {
             continue;
         }
-        if (!gatherers_.isSelf(*gatherer)) {
-            report(*gatherer, shard, shares.at(shard), header, now, out);
+        if (!aggregators_.isSelf(*aggregator)) {
+            report(*aggregator, shard, shares.at(shard), header, now, out);
             continue;
         }
         tellSums(shard, header, now, out);
@@ -122,13 +122,13 @@
     return out;
 }
 
-bool FleetNews::gathers(unsigned shard, SteadyTime now) const
+bool LoadAggregation::isAggregator(unsigned shard, SteadyTime now) const
 {
-    const DaemonRecord *gatherer = gatherers_.of(ownRegion_, shard, now);
-    return gatherer != nullptr && gatherers_.isSelf(*gatherer);
+    const DaemonRecord *aggregator = aggregators_.of(ownRegion_, shard, now);
+    return aggregator != nullptr && aggregators_.isSelf(*aggregator);
 }
 
-void FleetNews::collectParts()
+void LoadAggregation::collectParts()
 {
     for (const Wire::PlacedPart &part : loads_.takePlaced(DigestReach::OwnRegion)) {
         addPart(parts_.at(shardOf(part.upstream())), part);
@@ -137,22 +137,22 @@
     (void)loads_.takePlaced(DigestReach::OtherRegions);
 }
 
-void FleetNews::report(const DaemonRecord &gatherer, unsigned shard, const std::vector<Wire::UpstreamShare> &shares,
-                       const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out)
+void LoadAggregation::report(const DaemonRecord &aggregator, unsigned shard, const std::vector<Wire::UpstreamShare> &shares,
+                             const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out)
 {
-    loads_.told(gatherer.id, shard, shares);
-    gatherers_.reported(gatherer.id, now);
+    loads_.noteReported(aggregator.id, shard, shares);
+    aggregators_.reported(aggregator.id, now);
     Wire::LoadDigestT digest = header;
     digest.kind = Wire::DigestKind::Report;
     digest.shard = static_cast<std::uint8_t>(shard);
     std::vector<Wire::LoadDigestT> parts = splitIntoDigests(digest, shares, takeAll(parts_.at(shard)));
     attachLimits(parts, digest, { limits_.counts(inShard(shard), now), {}, {} });
     for (Wire::LoadDigestT &part : parts) {
-        out.push_back({ { gatherer.linkAddress }, std::move(part) });
+        out.push_back({ { aggregator.linkAddress }, std::move(part) });
     }
 }
 
-std::vector<Wire::MemberNews> FleetNews::nextMembers(std::size_t &window, Wire::DaemonPhase ownPhase, SteadyTime now) const
+std::vector<Wire::MemberNews> LoadAggregation::nextMembers(std::size_t &window, Wire::DaemonPhase ownPhase, SteadyTime now) const
 {
     std::vector<Wire::MemberNews> result;
     for (std::size_t count = std::min(mostDigestMembers, members_.size()); count > 0; --count) {
@@ -166,7 +166,7 @@
     return result;
 }
 
-void FleetNews::tellSums(unsigned shard, const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out)
+void LoadAggregation::tellSums(unsigned shard, const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out)
 {
     const std::vector<Wire::UpstreamShare> sums = loads_.sums(shard, now);
     std::vector<Wire::PlacedPart> &forRegions = partsForRegions_.at(shard);
@@ -186,8 +186,8 @@
 }
 
 /// Each datagram holds the news of one other region; where there are none, only what the own members are told of each other.
-void FleetNews::passOn(const Wire::LoadDigestT &header, std::vector<std::string> to, SteadyTime now,
-                       std::vector<OutgoingDigest> &out)
+void LoadAggregation::passOn(const Wire::LoadDigestT &header, std::vector<std::string> to, SteadyTime now,
+                             std::vector<OutgoingDigest> &out)
 {
     Wire::LoadDigestT digest = header;
     for (auto &[name, region] : otherRegions_) {
@@ -211,14 +211,15 @@
     }
 }
 
-void FleetNews::tellRegions(unsigned shard, Wire::LoadDigestT digest, const std::function<void(Wire::LoadDigestT &)> &addWaits,
-                            SteadyTime now, std::vector<OutgoingDigest> &out)
+void LoadAggregation::tellRegions(unsigned shard, Wire::LoadDigestT digest,
+                                  const std::function<void(Wire::LoadDigestT &)> &addWaits, SteadyTime now,
+                                  std::vector<OutgoingDigest> &out)
 {
     std::vector<std::string> to;
-    for (const std::string &region : gatherers_.regions()) {
-        const DaemonRecord *gatherer = region == ownRegion_ ? nullptr : gatherers_.of(region, shard, now);
-        if (gatherer != nullptr) {
-            to.push_back(gatherer->linkAddress);
+    for (const std::string &region : aggregators_.regions()) {
+        const DaemonRecord *aggregator = region == ownRegion_ ? nullptr : aggregators_.of(region, shard, now);
+        if (aggregator != nullptr) {
+            to.push_back(aggregator->linkAddress);
         }
     }
     if (to.empty()) {
@@ -240,7 +241,7 @@
     }
 }
 
-void FleetNews::take(const Wire::LoadDigestT &digest, SteadyTime now)
+void LoadAggregation::take(const Wire::LoadDigestT &digest, SteadyTime now)
 {
     switch (digest.kind) {
     case Wire::DigestKind::Direct:
@@ -255,17 +256,18 @@
         }
         break;
     case Wire::DigestKind::Sum: {
-        gatherers_.heardSums(digest.daemon, now);
+        aggregators_.heardSums(digest.daemon, now);
         regions_.takeMembers(digest.members, now);
         for (const std::unique_ptr<Wire::RegionNewsT> &news : digest.regions) {
             regions_.takeRegion(news->region, news->services, news->placed, now);
             regions_.takeMembers(news->members, now);
         }
         // Two gatherers of one shard would count what the other one counted.
-        const DaemonRecord *gatherer = digest.shard < newsShards ? gatherers_.of(ownRegion_, digest.shard, now) : nullptr;
-        if (gatherer != nullptr && !gatherers_.isSelf(*gatherer)) {
-            loads_.takeSums(digest, now);
-            if (gatherer->id == digest.daemon) {
+        const DaemonRecord *aggregator
+            = digest.shard < aggregationShards ? aggregators_.of(ownRegion_, digest.shard, now) : nullptr;
+        if (aggregator != nullptr && !aggregators_.isSelf(*aggregator)) {
+            loads_.applySums(digest, now);
+            if (aggregator->id == digest.daemon) {
                 limits_.takeGrants(digest.limit_grants, now);
             }
         }
--- a/src/portpaddle/fleet/fleet_news.h
+++ b/src/portpaddle/fleet/load_aggregation.h
@@ -4,7 +4,7 @@
 /// What daemons of a large fleet tell each other: reports to gatherers, sums for all daemons of a region, news between regions.
 #pragma once
 
-#include "portpaddle/fleet/gatherers.h"
+#include "portpaddle/fleet/aggregators.h"
 #include "portpaddle/gateway/region_table.h"
 #include "portpaddle/gateway/upstream_loads.h"
 #include "portpaddle/limits/organisation_limits.h"
@@ -32,10 +32,11 @@
 inline constexpr std::size_t mostPassedOnParts = 8;
 
 /// Belongs to one event loop. What is told is a function of the picture of the fleet, the loads and the number of the turn.
-class FleetNews
+class LoadAggregation
 {
 public:
-    FleetNews(std::string ownId, std::string ownRegion, UpstreamLoads &loads, RegionTable &regions, OrganisationLimits &limits);
+    LoadAggregation(std::string ownId, std::string ownRegion, UpstreamLoads &loads, RegionTable &regions,
+                    OrganisationLimits &limits);
 
     void setView(std::shared_ptr<const FleetView> view);
     /// What to send at this turn, of which there is one in each interval. @p header has the sender and
@@ -45,7 +46,7 @@
     /// Takes a Report, Sum or Region digest whose sender is noted already.
     void take(const Wire::LoadDigestT &digest, SteadyTime now);
     /// Whether this daemon gathers the news of @p shard for its region.
-    bool gathers(unsigned shard, SteadyTime now) const;
+    bool isAggregator(unsigned shard, SteadyTime now) const;
 
 private:
     /// What another region's gatherers told since it was passed on.
@@ -60,7 +61,7 @@
 
     void collectParts();
     /// @p shares are this daemon's at the upstreams of @p shard.
-    void report(const DaemonRecord &gatherer, unsigned shard, const std::vector<Wire::UpstreamShare> &shares,
+    void report(const DaemonRecord &aggregator, unsigned shard, const std::vector<Wire::UpstreamShare> &shares,
                 const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out);
     void tellSums(unsigned shard, const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out);
     void passOn(const Wire::LoadDigestT &header, std::vector<std::string> to, SteadyTime now, std::vector<OutgoingDigest> &out);
@@ -74,16 +75,16 @@
     UpstreamLoads &loads_;
     RegionTable &regions_;
     OrganisationLimits &limits_;
-    Gatherers gatherers_;
+    Aggregators aggregators_;
     std::shared_ptr<const FleetView> view_;
     /// Daemons of the own region, this one included; points into the view.
     std::vector<const DaemonRecord *> members_;
     /// Where the others of them are reached.
     std::vector<std::string> memberLinks_;
     /// Parts to report or to tell, by shard.
-    std::array<std::vector<Wire::PlacedPart>, newsShards> parts_;
+    std::array<std::vector<Wire::PlacedPart>, aggregationShards> parts_;
     /// The same for other regions.
-    std::array<std::vector<Wire::PlacedPart>, newsShards> partsForRegions_;
+    std::array<std::vector<Wire::PlacedPart>, aggregationShards> partsForRegions_;
     std::unordered_map<std::string, OtherRegion> otherRegions_;
     std::size_t localWindow_ = 0;
     std::size_t regionsWindow_ = 0;
--- a/src/portpaddle/fleet/relayed_store.cpp
+++ b/src/portpaddle/fleet/relayed_store.cpp
@@ -50,7 +50,7 @@
 FollowRole followRole(const FleetView &view, const std::string &id, const std::string &region)
 {
     FollowRole role;
-    if (!sharesWork(view)) {
+    if (!usesAggregators(view)) {
         return role;
     }
     const std::vector<const DaemonRecord *> ranked = rankForRole(view, region, "store");
--- a/src/portpaddle/fleet/role_ranking.cpp
+++ b/src/portpaddle/fleet/role_ranking.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-bool sharesWork(const FleetView &view)
+bool usesAggregators(const FleetView &view)
 {
     return view.daemons.size() > largestDirectFleet;
 }
--- a/src/portpaddle/fleet/role_ranking.h
+++ b/src/portpaddle/fleet/role_ranking.h
@@ -18,7 +18,7 @@
 inline constexpr std::size_t largestDirectFleet = 24;
 
 /// Whether @p view is of a fleet in which few daemons work for all.
-bool sharesWork(const FleetView &view);
+bool usesAggregators(const FleetView &view);
 
 /// The daemons of @p region that do not leave, the first choice for @p role first.
 std::vector<const DaemonRecord *> rankForRole(const FleetView &view, std::string_view region, std::string_view role);
--- a/src/portpaddle/gateway/gateway.cpp
+++ b/src/portpaddle/gateway/gateway.cpp
@@ -27,11 +27,11 @@
     , retryRounding_(random.fraction())
     , organisationLimits_(
           identity_.id, identity_.region,
-          [this](std::uint32_t organisation, SteadyTime now) { return gathersLimitOf(organisation, now); },
+          [this](std::uint32_t organisation, SteadyTime now) { return aggregatesLimitOf(organisation, now); },
           [this](const std::string &daemon, SteadyTime now) {
               return daemon != identity_.id && regions_.fellSilent(daemon, now);
           })
-    , news_(identity_.id, identity_.region, loads_, regions_, organisationLimits_)
+    , loadAggregation_(identity_.id, identity_.region, loads_, regions_, organisationLimits_)
     , owners_(identity_.id)
     , upstreamLimits_({ identity_.id, identity_.region }, owners_, metrics)
     , notices_(metrics)
@@ -178,7 +178,7 @@
     const SteadyTime now = BootClock::now();
     crashes_.setView(view_, now);
     regions_.setDaemons(*view_, now);
-    news_.setView(view_);
+    loadAggregation_.setView(view_);
     setLimits(now);
     chooseOwners(now);
     upstreamLimits_.setView(view_, now);
@@ -232,9 +232,9 @@
     return nullptr;
 }
 
-bool Gateway::gathersLimitOf(std::uint32_t organisation, SteadyTime now) const
+bool Gateway::aggregatesLimitOf(std::uint32_t organisation, SteadyTime now) const
 {
-    return !sharesWork(*view_) || news_.gathers(shardOf(organisation), now);
+    return !usesAggregators(*view_) || loadAggregation_.isAggregator(shardOf(organisation), now);
 }
 
 void Gateway::setLimits(SteadyTime now)
--- a/src/portpaddle/gateway/gateway.h
+++ b/src/portpaddle/gateway/gateway.h
@@ -7,7 +7,7 @@
 #include "portpaddle/base/rcu_cell.h"
 #include "portpaddle/crashes/crash_guard.h"
 #include "portpaddle/fleet/feed_server.h"
-#include "portpaddle/fleet/fleet_news.h"
+#include "portpaddle/fleet/load_aggregation.h"
 #include "portpaddle/fleet/settled_owner.h"
 #include "portpaddle/gateway/caller_session.h"
 #include "portpaddle/gateway/cold_gate.h"
@@ -107,7 +107,7 @@
     void beginDigestRound(DigestReach reach);
     /// What to tell now, each to be sent in a datagram of its own.
     std::vector<Wire::LoadDigestT> digests(DigestReach reach);
-    /// What a daemon of a fleet that has gatherers tells at this turn; see FleetNews.
+    /// What a daemon of a fleet that has gatherers tells at this turn; see LoadAggregation.
     std::vector<OutgoingDigest> dueFleetDigests(std::size_t turn);
     /// Housekeeping, a few times a second.
     void tick();
@@ -173,7 +173,7 @@
     /// Looks again at which daemons share the retry budget.
     void shareRetries(SteadyTime now);
     /// Whether this daemon gathers for its region what @p organisation may spend.
-    bool gathersLimitOf(std::uint32_t organisation, SteadyTime now) const;
+    bool aggregatesLimitOf(std::uint32_t organisation, SteadyTime now) const;
     void setLimits(SteadyTime now);
     /// Which daemons of the own region may own what cannot be divided among all of them.
     void chooseOwners(SteadyTime now);
@@ -227,7 +227,7 @@
     OrganisationLimits organisationLimits_;
     /// The configuration whose limits are in force.
     std::shared_ptr<const ServiceMap> limitsOf_;
-    FleetNews news_;
+    LoadAggregation loadAggregation_;
     /// Which upstreams are this daemon's where a bound cannot be divided among all.
     SettledOwner owners_;
     UpstreamLimits upstreamLimits_;
--- a/src/portpaddle/gateway/gateway_news.cpp
+++ b/src/portpaddle/gateway/gateway_news.cpp
@@ -31,7 +31,7 @@
     }
     regions_.applyDigest(digest, now);
     if (digest.kind != Wire::DigestKind::Direct) {
-        news_.take(digest, now);
+        loadAggregation_.take(digest, now);
     } else if (digest.region == identity_.region) {
         loads_.applyDigest(digest, now);
         organisationLimits_.takeCounts(digest.daemon, digest.limit_counts, now);
@@ -69,7 +69,7 @@
 {
     const SteadyTime now = BootClock::now();
     const auto addWaits = [this, now](Wire::LoadDigestT &digest) { addServiceWaits(digest, now); };
-    std::vector<OutgoingDigest> due = news_.due(turn, digestHeader(), addWaits, now);
+    std::vector<OutgoingDigest> due = loadAggregation_.due(turn, digestHeader(), addWaits, now);
     for (OutgoingDigest &outgoing : due) {
         outgoing.digest.sequence = ++digestSequence_;
     }
--- a/src/portpaddle/gateway/gateway_server.cpp
+++ b/src/portpaddle/gateway/gateway_server.cpp
@@ -175,7 +175,7 @@
     const std::shared_ptr<const FleetView> view = gateway_.view();
     send(gateway_.dueCrashDigests());
     send(gateway_.dueLimitDigests());
-    if (sharesWork(*view)) {
+    if (usesAggregators(*view)) {
         sendDigests();
         return;
     }
--- a/src/portpaddle/gateway/upstream_loads.cpp
+++ b/src/portpaddle/gateway/upstream_loads.cpp
@@ -100,7 +100,7 @@
 
 unsigned shardOf(std::uint32_t upstreamKey)
 {
-    return upstreamKey % newsShards;
+    return upstreamKey % aggregationShards;
 }
 
 LoadShare UpstreamLoads::ownShare(const State &state)
@@ -300,7 +300,7 @@
     notePlacedByOthers(digest);
 }
 
-void UpstreamLoads::takeSums(const Wire::LoadDigestT &digest, SteadyTime now)
+void UpstreamLoads::applySums(const Wire::LoadDigestT &digest, SteadyTime now)
 {
     for (const Wire::UpstreamShare &share : digest.upstreams) {
         State *state = stateByKey(share.key());
@@ -309,9 +309,9 @@
         }
         LoadShare others = decodeShare(share);
         std::uint32_t readTokens = share.read_tokens();
-        if (state->told.gatherer == digest.daemon) {
-            others -= state->told.share;
-            readTokens -= state->told.readTokens;
+        if (state->reported.aggregator == digest.daemon) {
+            others -= state->reported.share;
+            readTokens -= state->reported.readTokens;
         }
         state->prefixes.advance(state->peers.take(digest.daemon, others, readTokens, now));
     }
@@ -327,16 +327,16 @@
     }
 }
 
-void UpstreamLoads::told(const std::string &gatherer, unsigned shard, const std::vector<Wire::UpstreamShare> &shares)
+void UpstreamLoads::noteReported(const std::string &aggregator, unsigned shard, const std::vector<Wire::UpstreamShare> &shares)
 {
     for (auto &[id, state] : states_) {
         if (shardOf(upstreamKey(id)) == shard) {
-            state.told = { gatherer, {}, wrapped(state.readTokens) };
+            state.reported = { aggregator, {}, wrapped(state.readTokens) };
         }
     }
     for (const Wire::UpstreamShare &share : shares) {
         if (State *state = stateByKey(share.key())) {
-            state->told.share = decodeShare(share);
+            state->reported.share = decodeShare(share);
         }
     }
 }
--- a/src/portpaddle/gateway/upstream_loads.h
+++ b/src/portpaddle/gateway/upstream_loads.h
@@ -64,15 +64,15 @@
     void connectFailed(const std::string &upstream, SteadyTime now);
 
     void applyDigest(const Wire::LoadDigestT &digest, SteadyTime now);
-    /// Takes sums that include what this daemon last told their gatherer with told().
-    void takeSums(const Wire::LoadDigestT &digest, SteadyTime now);
+    /// Takes sums that include what this daemon last told their gatherer with noteReported().
+    void applySums(const Wire::LoadDigestT &digest, SteadyTime now);
     /// What this daemon has sent and is not answered yet, by upstream. One that all requests left is told a while longer.
     std::vector<Wire::UpstreamShare> shares(SteadyTime now) const;
     /// Own shares and those of all daemons that report here, of the upstreams of one @p shard that are in use or were a moment
     /// ago.
     std::vector<Wire::UpstreamShare> sums(unsigned shard, SteadyTime now);
-    /// Remembers that @p gatherer counts @p shares of this daemon, and no other shares at upstreams of @p shard.
-    void told(const std::string &gatherer, unsigned shard, const std::vector<Wire::UpstreamShare> &shares);
+    /// Remembers that @p aggregator counts @p shares of this daemon, and no other shares at upstreams of @p shard.
+    void noteReported(const std::string &aggregator, unsigned shard, const std::vector<Wire::UpstreamShare> &shares);
     /// The parts placed since the last call for @p reach; only the newest where they are many.
     std::vector<Wire::PlacedPart> takePlaced(DigestReach reach);
 
@@ -81,9 +81,9 @@
 
 private:
     /// What a gatherer counts of this daemon at an upstream.
-    struct Told
+    struct Reported
     {
-        std::string gatherer;
+        std::string aggregator;
         LoadShare share;
         std::uint32_t readTokens = 0;
     };
@@ -94,7 +94,7 @@
         double memoryTokens = 0;
         unsigned running = 0;
         PeerShares peers;
-        Told told;
+        Reported reported;
         /// When any daemon had requests there, as far as is known here.
         SteadyTime busyAt{};
         PrefixMemory prefixes;
@@ -143,7 +143,7 @@
 
 /// Upstreams are gathered in this many shards, each by another daemon: one datagram holds those of a shard where a region has a
 /// hundred, and a gatherer that dies leaves three quarters of the news.
-inline constexpr unsigned newsShards = 4;
+inline constexpr unsigned aggregationShards = 4;
 unsigned shardOf(std::uint32_t upstreamKey);
 
 } // namespace Portpaddle
--- a/src/portpaddle/limits/organisation_limits.cpp
+++ b/src/portpaddle/limits/organisation_limits.cpp
@@ -46,11 +46,11 @@
     return static_cast<std::uint32_t>(stableHash(name));
 }
 
-OrganisationLimits::OrganisationLimits(std::string ownDaemon, std::string ownRegion, Gathers gathers,
+OrganisationLimits::OrganisationLimits(std::string ownDaemon, std::string ownRegion, IsAggregator isAggregator,
                                        RegionLimit::IsSilent isSilent)
     : ownDaemon_(std::move(ownDaemon))
     , ownRegion_(std::move(ownRegion))
-    , gathers_(std::move(gathers))
+    , isAggregator_(std::move(isAggregator))
     , isSilent_(std::move(isSilent))
 {
 }
@@ -121,7 +121,7 @@
 
 std::optional<AdmissionGrant> OrganisationLimits::currentGrant(std::uint32_t organisation, State &state, SteadyTime now)
 {
-    if (gathers_(organisation, now)) {
+    if (isAggregator_(organisation, now)) {
         state.region.take(ownDaemon_, state.own, now);
         state.grant = state.region.grant(isSilent_, now);
         state.grantAt = now;
--- a/src/portpaddle/limits/organisation_limits.h
+++ b/src/portpaddle/limits/organisation_limits.h
@@ -27,11 +27,11 @@
 {
 public:
     /// Whether this daemon gathers for its region, by the key of an organisation.
-    using Gathers = std::function<bool(std::uint32_t organisation, SteadyTime now)>;
+    using IsAggregator = std::function<bool(std::uint32_t organisation, SteadyTime now)>;
     /// Which organisations are told of, by their keys.
     using Selects = std::function<bool(std::uint32_t organisation)>;
 
-    OrganisationLimits(std::string ownDaemon, std::string ownRegion, Gathers gathers, RegionLimit::IsSilent isSilent);
+    OrganisationLimits(std::string ownDaemon, std::string ownRegion, IsAggregator isAggregator, RegionLimit::IsSilent isSilent);
 
     /// What may go over limits. Call before setOrganisations().
     void setTolerance(const LimitTolerance &tolerance);
@@ -98,7 +98,7 @@
 
     std::string ownDaemon_;
     std::string ownRegion_;
-    Gathers gathers_;
+    IsAggregator isAggregator_;
     RegionLimit::IsSilent isSilent_;
     std::set<std::string> regions_;
     unsigned daemons_ = 1;
--- a/src/portpaddle/upstream_limits/upstream_limits.h
+++ b/src/portpaddle/upstream_limits/upstream_limits.h
@@ -4,7 +4,7 @@
 /// Keeps all daemons of a region together to the requests a second that upstreams in need say they take.
 #pragma once
 
-#include "portpaddle/fleet/fleet_news.h"
+#include "portpaddle/fleet/load_aggregation.h"
 #include "portpaddle/fleet/settled_owner.h"
 #include "portpaddle/gateway/fleet_view.h"
 #include "portpaddle/upstream_limits/limit_book.h"
--- a/tests/gateway/fleet_news_tests.cpp
+++ b/tests/gateway/load_aggregation_tests.cpp
@@ -4,7 +4,7 @@
 // What daemons of a large fleet know of each other's load and life, and what telling it costs. Datagrams are handed on in memory.
 
 #include "portpaddle/base/system_clock.h"
-#include "portpaddle/fleet/fleet_news.h"
+#include "portpaddle/fleet/load_aggregation.h"
 #include "portpaddle/fleet/role_ranking.h"
 #include "portpaddle/fleet/settled_owner.h"
 #include "portpaddle/gateway/load_digest.h"
@@ -59,7 +59,7 @@
         UpstreamLoads loads;
         RegionTable regions;
         OrganisationLimits limits;
-        FleetNews news;
+        LoadAggregation news;
         std::uint64_t sequence = 0;
         bool dead = false;
     };
@@ -215,13 +215,14 @@
         tickets.push_back(send(id, "u-north-3", 640));
     }
     run(600ms);
-    const DaemonRecord *gatherer = rankForRole(*view, "north", fmt::format("news {}", shardOf(upstreamKey("u-north-3")))).front();
-    daemons.at(gatherer->id)->dead = true;
+    const DaemonRecord *aggregator
+        = rankForRole(*view, "north", fmt::format("news {}", shardOf(upstreamKey("u-north-3")))).front();
+    daemons.at(aggregator->id)->dead = true;
     run(3s);
     for (const auto &[id, daemon] : daemons) {
         if (id.starts_with("north") && !daemon->dead) {
             CHECK(running(id, "u-north-3") == 39);
-            CHECK(daemon->regions.fellSilent(gatherer->id, now));
+            CHECK(daemon->regions.fellSilent(aggregator->id, now));
         }
     }
 }
@@ -269,7 +270,7 @@
                   "Gatherers, one that takes reports and sends no sums, is avoided, and not for reports that went elsewhere")
 {
     build(40, 0);
-    Gatherers gatherers("north-x", [](const std::string &, SteadyTime) { return false; });
+    Aggregators gatherers("north-x", [](const std::string &, SteadyTime) { return false; });
     gatherers.setView(view);
     const std::string first = gatherers.of("north", 0, now)->id;
     // It sends sums, then others are reported to for a while: nothing is due from it.
--- a/tests/support/limit_scenario.cpp
+++ b/tests/support/limit_scenario.cpp
@@ -159,10 +159,10 @@
             }
         }
         for (unsigned region = 0; region < regions; ++region) {
-            OrganisationLimits &gatherer = *daemons_[gathererOf(region)];
-            grants_.push_back({ region, gatherer.grants(all, now) });
+            OrganisationLimits &aggregator = *daemons_[gathererOf(region)];
+            grants_.push_back({ region, aggregator.grants(all, now) });
             if (ticks_ % 4 == region) {
-                demands_.push_back({ region, gatherer.demands(all, now) });
+                demands_.push_back({ region, aggregator.demands(all, now) });
             }
         }
         ++ticks_;
