--- a/src/portpaddle/base/error.h
+++ b/src/portpaddle/base/error.h
@@ -41,7 +41,7 @@
     SettingsTooOld,
     PeerUnreachable,
     NotFound,
-    HistoryGone,
+    HistoryCompacted,
     Cancelled,
     EndsUpstreams,
     Internal,
--- a/src/portpaddle/fleet/change_feed.cpp
+++ b/src/portpaddle/fleet/change_feed.cpp
@@ -64,10 +64,10 @@
     wake_();
 }
 
-FeedNews ChangeFeed::since(std::uint64_t revision) const
+FeedUpdate ChangeFeed::since(std::uint64_t revision) const
 {
     const std::lock_guard lock(mutex_);
-    FeedNews news;
+    FeedUpdate news;
     news.revision = revision_;
     news.confirmedAt = confirmedAt_;
     news.reachable = reachable_;
--- a/src/portpaddle/fleet/change_feed.h
+++ b/src/portpaddle/fleet/change_feed.h
@@ -16,7 +16,7 @@
 namespace Portpaddle {
 
 /// What a daemon knows of the store at one moment.
-struct FeedNews
+struct FeedUpdate
 {
     std::uint64_t revision = 0;
     /// When an answer of the store last confirmed this, to this daemon or to the one that it follows.
@@ -44,7 +44,7 @@
     void setReachable(bool reachable);
 
     /// What changed after @p revision.
-    FeedNews since(std::uint64_t revision) const;
+    FeedUpdate since(std::uint64_t revision) const;
 
 private:
     mutable std::mutex mutex_;
--- a/src/portpaddle/fleet/feed_server.cpp
+++ b/src/portpaddle/fleet/feed_server.cpp
@@ -34,7 +34,7 @@
 {
 }
 
-bool FeedServer::concerns(const std::string &target) const
+bool FeedServer::handles(const std::string &target) const
 {
     return target == statePath || target.starts_with(changesPath);
 }
@@ -61,7 +61,7 @@
 
 Task<WholeAnswer> FeedServer::answerChanges(std::uint64_t revision)
 {
-    FeedNews news = feed_.since(revision);
+    FeedUpdate news = feed_.since(revision);
     // Who is asked and has no contact with the store any more says so at once: where several in a row have none, the one that
     // asks would otherwise spend the time in which a change must be in force on waiting for them.
     const SteadyTime::duration counts = news.confirmedAt + oldestConfirmation - BootClock::now();
@@ -83,7 +83,7 @@
 WholeAnswer FeedServer::answerState() const
 {
     // Asked first: the items may be newer than this says, never older.
-    const FeedNews news = feed_.since(0);
+    const FeedUpdate news = feed_.since(0);
     WholeAnswer answer;
     answer.body = encodeState(daemon_, known_(), news);
     return answer;
--- a/src/portpaddle/fleet/feed_server.h
+++ b/src/portpaddle/fleet/feed_server.h
@@ -24,23 +24,23 @@
 inline constexpr std::chrono::milliseconds oldestConfirmation{ 2'500 };
 
 /// Questions of daemons about this one's knowledge of the store.
-class PeerQuestions
+class PeerRequestHandler
 {
 public:
-    virtual ~PeerQuestions() = default;
+    virtual ~PeerRequestHandler() = default;
     /// Whether @p target is one of them.
-    virtual bool concerns(const std::string &target) const = 0;
+    virtual bool handles(const std::string &target) const = 0;
     virtual Task<WholeAnswer> answer(std::string target) = 0;
 };
 
 /// Belongs to one event loop; the feed may be written by another thread.
-class FeedServer : public PeerQuestions
+class FeedServer : public PeerRequestHandler
 {
 public:
     /// @p known gives all items, from any thread.
     FeedServer(Executor executor, std::string daemon, const ChangeFeed &feed, std::function<std::vector<KeyValue>()> known);
 
-    bool concerns(const std::string &target) const override;
+    bool handles(const std::string &target) const override;
     Task<WholeAnswer> answer(std::string target) override;
     /// The feed has changed. Call on the loop.
     void wake();
--- a/src/portpaddle/fleet/relayed_store.cpp
+++ b/src/portpaddle/fleet/relayed_store.cpp
@@ -40,7 +40,7 @@
 }
 
 /// Whether what a source knows is news of the store at all.
-bool isConfirmed(const FeedNews &news, SteadyTime now)
+bool isConfirmed(const FeedUpdate &news, SteadyTime now)
 {
     return news.reachable && news.revision > 0 && now - news.confirmedAt < oldestConfirmation;
 }
@@ -143,14 +143,14 @@
     sources_[address].avoidedUntil = BootClock::now() + avoidTime;
 }
 
-Result<FeedNews> RelayedStore::askConfirmed(const std::string &address, const std::string &target)
+Result<FeedUpdate> RelayedStore::askConfirmed(const std::string &address, const std::string &target)
 {
     const Result<std::string> body = ask(address, target);
     if (!isOk(body)) {
         return errorOf(body);
     }
     const auto now = BootClock::now();
-    Result<FeedNews> news = decodeChanges(valueOf(body), now);
+    Result<FeedUpdate> news = decodeChanges(valueOf(body), now);
     if (isOk(news) && !isConfirmed(valueOf(news), now)) {
         return unavailable("the daemon at " + address + " has no contact with the store");
     }
@@ -159,7 +159,7 @@
 
 Result<KeyChanges> RelayedStore::followPeer(const std::string &address, std::uint64_t revision)
 {
-    Result<FeedNews> news = askConfirmed(address, fmt::format("{}?after={}", changesPath, revision));
+    Result<FeedUpdate> news = askConfirmed(address, fmt::format("{}?after={}", changesPath, revision));
     if (!isOk(news)) {
         return errorOf(news);
     }
@@ -169,7 +169,7 @@
     if (valueOf(news).incomplete) {
         // The listing that follows must not come from a daemon that missed the same changes as this one.
         highestRevision_ = valueOf(news).revision;
-        return Error{ ErrorCode::HistoryGone, "the daemon at " + address + " forgot these changes", RunState::NotRun, {} };
+        return Error{ ErrorCode::HistoryCompacted, "the daemon at " + address + " forgot these changes", RunState::NotRun, {} };
     }
     KeyChanges changes;
     changes.changes = std::move(valueOf(news).changes);
@@ -182,7 +182,7 @@
 
 Result<KeyListing> RelayedStore::listPeer(const std::string &address)
 {
-    Result<FeedNews> news = askConfirmed(address, statePath);
+    Result<FeedUpdate> news = askConfirmed(address, statePath);
     if (!isOk(news)) {
         return errorOf(news);
     }
@@ -228,7 +228,7 @@
     for (const std::string &address : usableSources(role, BootClock::now())) {
         Result<KeyChanges> changes = followPeer(address, revision);
         // A source that is ahead and has forgotten goes before others that may have missed the same changes.
-        if (isOk(changes) || errorOf(changes).code == ErrorCode::HistoryGone) {
+        if (isOk(changes) || errorOf(changes).code == ErrorCode::HistoryCompacted) {
             return changes;
         }
         avoid(address, errorOf(changes));
@@ -237,7 +237,7 @@
         return unavailable("no daemon hands on the store's changes, and the store failed just now");
     }
     Result<KeyChanges> changes = store_.follow(prefix, revision, std::min(timeout, directWait));
-    if (!isOk(changes) && errorOf(changes).code != ErrorCode::HistoryGone) {
+    if (!isOk(changes) && errorOf(changes).code != ErrorCode::HistoryCompacted) {
         storeCallsFrom_ = BootClock::now() + betweenStoreCalls;
     }
     return changes;
--- a/src/portpaddle/fleet/relayed_store.h
+++ b/src/portpaddle/fleet/relayed_store.h
@@ -20,7 +20,7 @@
 
 namespace Portpaddle {
 
-struct FeedNews;
+struct FeedUpdate;
 struct FleetView;
 
 /// How a daemon gets at the store's contents.
@@ -62,7 +62,7 @@
     /// What the daemon at @p address answers.
     Result<std::string> ask(const std::string &address, const std::string &target);
     /// The same, decoded; an error where what it says was not confirmed by the store lately.
-    Result<FeedNews> askConfirmed(const std::string &address, const std::string &target);
+    Result<FeedUpdate> askConfirmed(const std::string &address, const std::string &target);
     Result<KeyChanges> followPeer(const std::string &address, std::uint64_t revision);
     Result<KeyListing> listPeer(const std::string &address);
     void avoid(const std::string &address, const Error &why);
--- a/src/portpaddle/fleet/role_ranking.cpp
+++ b/src/portpaddle/fleet/role_ranking.cpp
@@ -23,7 +23,7 @@
 /// The cube lets a few VMs of half a core go before a hundred of an eighth of one, which would spend a tenth of it on this work.
 double weightOf(const DaemonRecord &daemon)
 {
-    const double strength = daemon.strength > 0 ? daemon.strength : unknownStrength;
+    const double strength = daemon.cpuCores > 0 ? daemon.cpuCores : unknownStrength;
     return strength * strength * strength;
 }
 
--- a/src/portpaddle/fleet/settled_owner.cpp
+++ b/src/portpaddle/fleet/stable_owner.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/fleet/settled_owner.h"
+#include "portpaddle/fleet/stable_owner.h"
 
 #include "portpaddle/routing/rendezvous.h"
 
@@ -25,11 +25,11 @@
 
 } // namespace
 
-SettledOwner::SettledOwner(std::string_view ownId) : self_(stableHash(ownId))
+StableOwner::StableOwner(std::string_view ownId) : self_(stableHash(ownId))
 {
 }
 
-void SettledOwner::setMembers(std::vector<std::uint64_t> members, SteadyTime now)
+void StableOwner::setMembers(std::vector<std::uint64_t> members, SteadyTime now)
 {
     std::sort(members.begin(), members.end());
     knownSince_ = std::min(knownSince_, now);
@@ -46,7 +46,7 @@
     verdicts_.clear();
 }
 
-std::optional<std::size_t> SettledOwner::rankIn(const Membership &membership, std::uint64_t key) const
+std::optional<std::size_t> StableOwner::rankIn(const Membership &membership, std::uint64_t key) const
 {
     const std::vector<std::uint64_t> &members = membership.members;
     if (!std::binary_search(members.begin(), members.end(), self_)) {
@@ -59,12 +59,12 @@
     return static_cast<std::size_t>(before);
 }
 
-bool SettledOwner::owns(std::uint64_t key, SteadyTime now)
+bool StableOwner::owns(std::uint64_t key, SteadyTime now)
 {
     return isAmong(key, 1, now);
 }
 
-bool SettledOwner::isAmong(std::uint64_t key, unsigned count, SteadyTime now)
+bool StableOwner::isAmong(std::uint64_t key, unsigned count, SteadyTime now)
 {
     const auto [entry, added] = verdicts_.try_emplace(key);
     Verdict &verdict = entry->second;
@@ -82,12 +82,12 @@
     return verdict.isAmong;
 }
 
-std::size_t SettledOwner::rank(std::uint64_t key) const
+std::size_t StableOwner::rank(std::uint64_t key) const
 {
     return memberships_.empty() ? 0 : rankIn(memberships_.back(), key).value_or(memberships_.back().members.size());
 }
 
-std::size_t SettledOwner::members() const
+std::size_t StableOwner::members() const
 {
     return memberships_.empty() ? 0 : memberships_.back().members.size();
 }
--- a/src/portpaddle/fleet/settled_owner.h
+++ b/src/portpaddle/fleet/stable_owner.h
@@ -16,10 +16,10 @@
 namespace Portpaddle {
 
 /// Ranks the daemons known for each key by rendezvous hashing. Belongs to one event loop.
-class SettledOwner
+class StableOwner
 {
 public:
-    explicit SettledOwner(std::string_view ownId);
+    explicit StableOwner(std::string_view ownId);
 
     /// The daemons of the region now, by the hashes of their ids.
     void setMembers(std::vector<std::uint64_t> members, SteadyTime now);
--- a/src/portpaddle/gateway/daemon_registration.cpp
+++ b/src/portpaddle/gateway/daemon_registration.cpp
@@ -36,7 +36,7 @@
                         { "entry", record.entryAddress },
                         { "link", record.linkAddress },
                         { "leaving", record.leaving },
-                        { "strength", record.strength } };
+                        { "strength", record.cpuCores } };
     return json.dump();
 }
 
@@ -51,7 +51,7 @@
         record.entryAddress = json.at("entry").get<std::string>();
         record.linkAddress = json.at("link").get<std::string>();
         record.leaving = json.value("leaving", false);
-        record.strength = json.value("strength", 0.0);
+        record.cpuCores = json.value("strength", 0.0);
         return record;
     } catch (const Json::exception &exception) {
         return Error{ ErrorCode::SettingsInvalid, std::string("a daemon's record: ") + exception.what(), RunState::NotRun, {} };
@@ -158,7 +158,7 @@
     }
     if (lease_ != noLease) {
         // If this fails, the lease lapses by itself.
-        (void)store_.endLease(lease_);
+        (void)store_.revokeLease(lease_);
         lease_ = noLease;
     }
     ended_ = true;
--- a/src/portpaddle/gateway/fleet_keeper.cpp
+++ b/src/portpaddle/gateway/fleet_registry.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/gateway/fleet_keeper.h"
+#include "portpaddle/gateway/fleet_registry.h"
 
 namespace Portpaddle {
 
@@ -12,18 +12,18 @@
 
 } // namespace
 
-FleetKeeper::FleetKeeper(RcuCell<FleetView> &cell, std::function<void()> published)
+FleetRegistry::FleetRegistry(RcuCell<FleetView> &cell, std::function<void()> published)
     : cell_(cell), published_(std::move(published))
 {
 }
 
-void FleetKeeper::beginBatch()
+void FleetRegistry::beginBatch()
 {
     const std::lock_guard lock(mutex_);
     inBatch_ = true;
 }
 
-void FleetKeeper::endBatch()
+void FleetRegistry::endBatch()
 {
     const std::lock_guard lock(mutex_);
     inBatch_ = false;
@@ -32,7 +32,7 @@
     }
 }
 
-bool FleetKeeper::takeConfiguration(std::shared_ptr<const ServiceMap> services)
+bool FleetRegistry::takeConfiguration(std::shared_ptr<const ServiceMap> services)
 {
     const std::lock_guard lock(mutex_);
     if (services_ && services->version <= services_->version) {
@@ -43,7 +43,7 @@
     return true;
 }
 
-std::optional<SteadyTime> FleetKeeper::graceFor(SteadyTime now) const
+std::optional<SteadyTime> FleetRegistry::graceFor(SteadyTime now) const
 {
     if (!storeReachable_ && everReachable_) {
         return now + lapseGrace;
@@ -51,7 +51,7 @@
     return now < settledAt_ ? std::optional(settledAt_) : std::nullopt;
 }
 
-void FleetKeeper::storeUpstream(UpstreamRecord record)
+void FleetRegistry::storeUpstream(UpstreamRecord record)
 {
     const auto known = upstreams_.find(record.registeredName);
     const bool sameLife = known != upstreams_.end() && known->second.record.id == record.id;
@@ -70,7 +70,7 @@
 }
 
 template<typename Record>
-bool FleetKeeper::drop(std::map<std::string, Held<Record>> &held, const std::string &id, SteadyTime now)
+bool FleetRegistry::drop(std::map<std::string, Held<Record>> &held, const std::string &id, SteadyTime now)
 {
     const auto found = held.find(id);
     if (found == held.end()) {
@@ -86,13 +86,13 @@
 }
 
 template<typename Record>
-bool FleetKeeper::dropLapsed(std::map<std::string, Held<Record>> &held, SteadyTime now)
+bool FleetRegistry::dropLapsed(std::map<std::string, Held<Record>> &held, SteadyTime now)
 {
     return std::erase_if(held, [now](const auto &item) { return item.second.lapsesAt && *item.second.lapsesAt <= now; }) > 0;
 }
 
 template<typename Record>
-void FleetKeeper::dropUnlisted(std::map<std::string, Held<Record>> &held, const std::set<std::string> &listed, SteadyTime now)
+void FleetRegistry::dropUnlisted(std::map<std::string, Held<Record>> &held, const std::set<std::string> &listed, SteadyTime now)
 {
     std::vector<std::string> missing;
     for (const auto &[id, record] : held) {
@@ -105,7 +105,7 @@
     }
 }
 
-void FleetKeeper::listUpstreams(std::vector<UpstreamRecord> records, SteadyTime now)
+void FleetRegistry::listUpstreams(std::vector<UpstreamRecord> records, SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
     std::set<std::string> listed;
@@ -117,14 +117,14 @@
     publish();
 }
 
-void FleetKeeper::changeUpstream(UpstreamRecord record)
+void FleetRegistry::changeUpstream(UpstreamRecord record)
 {
     const std::lock_guard lock(mutex_);
     storeUpstream(std::move(record));
     publish();
 }
 
-void FleetKeeper::removeUpstream(const std::string &name, SteadyTime now)
+void FleetRegistry::removeUpstream(const std::string &name, SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
     if (drop(upstreams_, name, now)) {
@@ -132,7 +132,7 @@
     }
 }
 
-void FleetKeeper::rejectUpstream(const std::string &name)
+void FleetRegistry::rejectUpstream(const std::string &name)
 {
     const std::lock_guard lock(mutex_);
     if (upstreams_.erase(name) > 0) {
@@ -140,14 +140,14 @@
     }
 }
 
-void FleetKeeper::listEvacuations(std::set<std::string> dataCentres)
+void FleetRegistry::listEvacuations(std::set<std::string> dataCentres)
 {
     const std::lock_guard lock(mutex_);
     evacuated_ = std::move(dataCentres);
     publish();
 }
 
-void FleetKeeper::changeEvacuation(const std::string &dataCentre, bool evacuated)
+void FleetRegistry::changeEvacuation(const std::string &dataCentre, bool evacuated)
 {
     const std::lock_guard lock(mutex_);
     if (evacuated) {
@@ -158,7 +158,7 @@
     publish();
 }
 
-void FleetKeeper::listDaemons(std::vector<DaemonRecord> daemons, SteadyTime now)
+void FleetRegistry::listDaemons(std::vector<DaemonRecord> daemons, SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
     std::set<std::string> listed;
@@ -171,7 +171,7 @@
     publish();
 }
 
-void FleetKeeper::changeDaemon(DaemonRecord daemon)
+void FleetRegistry::changeDaemon(DaemonRecord daemon)
 {
     const std::lock_guard lock(mutex_);
     const std::string id = daemon.id;
@@ -179,7 +179,7 @@
     publish();
 }
 
-void FleetKeeper::removeDaemon(const std::string &id, SteadyTime now)
+void FleetRegistry::removeDaemon(const std::string &id, SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
     if (drop(daemons_, id, now)) {
@@ -187,7 +187,7 @@
     }
 }
 
-void FleetKeeper::listQuarantine(const std::set<RequestFingerprint> &requests, SteadyTime now)
+void FleetRegistry::listQuarantine(const std::set<RequestFingerprint> &requests, SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
     std::erase_if(quarantined_, [&requests](const auto &item) { return !requests.contains(item.first); });
@@ -198,7 +198,7 @@
     publish();
 }
 
-void FleetKeeper::changeQuarantine(const RequestFingerprint &request, bool held, SteadyTime now)
+void FleetRegistry::changeQuarantine(const RequestFingerprint &request, bool held, SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
     if (held) {
@@ -209,14 +209,14 @@
     publish();
 }
 
-void FleetKeeper::listUpstreamLimits(StoredLimits limits)
+void FleetRegistry::listUpstreamLimits(StoredLimits limits)
 {
     const std::lock_guard lock(mutex_);
     upstreamLimits_ = std::move(limits);
     publish();
 }
 
-void FleetKeeper::changeUpstreamLimit(std::uint64_t upstream, const std::optional<StoredLimit> &limit)
+void FleetRegistry::changeUpstreamLimit(std::uint64_t upstream, const std::optional<StoredLimit> &limit)
 {
     const std::lock_guard lock(mutex_);
     if (limit) {
@@ -227,7 +227,7 @@
     publish();
 }
 
-void FleetKeeper::storeLost(SteadyTime)
+void FleetRegistry::onStoreUnavailable(SteadyTime)
 {
     const std::lock_guard lock(mutex_);
     if (storeReachable_) {
@@ -236,7 +236,7 @@
     }
 }
 
-void FleetKeeper::storeBack(SteadyTime now)
+void FleetRegistry::onStoreAvailable(SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
     if (storeReachable_) {
@@ -249,7 +249,7 @@
     publish();
 }
 
-void FleetKeeper::tick(SteadyTime now)
+void FleetRegistry::tick(SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
     if (!storeReachable_) {
@@ -262,7 +262,7 @@
     }
 }
 
-bool FleetKeeper::knowsDaemon(const std::string &id) const
+bool FleetRegistry::knowsDaemon(const std::string &id) const
 {
     const std::lock_guard lock(mutex_);
     const auto found = daemons_.find(id);
@@ -270,7 +270,7 @@
 }
 
 // A view is a copy of all records: a restart of half of the daemons must not make one for each of them.
-void FleetKeeper::publish()
+void FleetRegistry::publish()
 {
     unpublished_ = inBatch_;
     if (inBatch_) {
--- a/src/portpaddle/gateway/fleet_keeper.h
+++ b/src/portpaddle/gateway/fleet_registry.h
@@ -17,10 +17,10 @@
 namespace Portpaddle {
 
 /// Thread-safe. @p published of the constructor is called after each publication, on the thread that caused it.
-class FleetKeeper
+class FleetRegistry
 {
 public:
-    FleetKeeper(RcuCell<FleetView> &cell, std::function<void()> published);
+    FleetRegistry(RcuCell<FleetView> &cell, std::function<void()> published);
 
     /// Changes until the next endBatch() are published together with it.
     void beginBatch();
@@ -42,8 +42,8 @@
     void listUpstreamLimits(StoredLimits limits);
     /// No value where the record of @p upstream is gone or cannot be read.
     void changeUpstreamLimit(std::uint64_t upstream, const std::optional<StoredLimit> &limit);
-    void storeLost(SteadyTime now);
-    void storeBack(SteadyTime now);
+    void onStoreUnavailable(SteadyTime now);
+    void onStoreAvailable(SteadyTime now);
     /// Removes what lapsed and did not come back; call a few times a second.
     void tick(SteadyTime now);
     /// Whether the store's list names @p id.
--- a/src/portpaddle/gateway/fleet_view.h
+++ b/src/portpaddle/gateway/fleet_view.h
@@ -53,7 +53,7 @@
     std::string linkAddress;
     bool leaving = false;
     /// Cores that it may use; zero where it did not say.
-    double strength = 0;
+    double cpuCores = 0;
 };
 
 /// Everything at one moment.
--- a/src/portpaddle/gateway/gateway.cpp
+++ b/src/portpaddle/gateway/gateway.cpp
@@ -41,10 +41,10 @@
 
 Task<void> Gateway::serve(CallerRequest request, CallerWriter &writer, std::function<void()> &abandoned)
 {
-    if (request.relayed && peerQuestions_ != nullptr) {
+    if (request.relayed && peerRequestHandler_ != nullptr) {
         std::string target(request.message.target().data(), request.message.target().size());
-        if (peerQuestions_->concerns(target)) {
-            WholeAnswer answer = co_await peerQuestions_->answer(std::move(target));
+        if (peerRequestHandler_->handles(target)) {
+            WholeAnswer answer = co_await peerRequestHandler_->answer(std::move(target));
             co_await writer.whole(std::move(answer));
             co_return;
         }
@@ -166,9 +166,9 @@
     }
 }
 
-void Gateway::setPeerQuestions(PeerQuestions *questions)
+void Gateway::setPeerRequestHandler(PeerRequestHandler *questions)
 {
-    peerQuestions_ = questions;
+    peerRequestHandler_ = questions;
 }
 
 void Gateway::viewChanged()
--- a/src/portpaddle/gateway/gateway.h
+++ b/src/portpaddle/gateway/gateway.h
@@ -8,7 +8,7 @@
 #include "portpaddle/crashes/crash_guard.h"
 #include "portpaddle/fleet/feed_server.h"
 #include "portpaddle/fleet/load_aggregation.h"
-#include "portpaddle/fleet/settled_owner.h"
+#include "portpaddle/fleet/stable_owner.h"
 #include "portpaddle/gateway/caller_session.h"
 #include "portpaddle/gateway/cold_gate.h"
 #include "portpaddle/gateway/fleet_view.h"
@@ -98,7 +98,7 @@
     /// The same of the limits that upstreams name.
     std::vector<OutgoingDigest> dueLimitDigests();
     /// Answers other daemons that ask for what the store told; must outlive the gateway.
-    void setPeerQuestions(PeerQuestions *questions);
+    void setPeerRequestHandler(PeerRequestHandler *questions);
     /// A newer view was published.
     void viewChanged();
     void setDigestInterval(std::chrono::milliseconds interval);
@@ -229,7 +229,7 @@
     std::shared_ptr<const ServiceMap> limitsOf_;
     LoadAggregation loadAggregation_;
     /// Which upstreams are this daemon's where a bound cannot be divided among all.
-    SettledOwner owners_;
+    StableOwner owners_;
     UpstreamLimits upstreamLimits_;
     UpstreamNotices notices_;
     /// Requests that wait for their turn at an upstream with a limit, by service.
@@ -247,7 +247,7 @@
     const UpstreamOrders *orders_ = nullptr;
     /// Streams in progress by upstream of the own region.
     std::unordered_map<std::string, std::set<Exchange *>> streams_;
-    PeerQuestions *peerQuestions_ = nullptr;
+    PeerRequestHandler *peerRequestHandler_ = nullptr;
     std::size_t bodyBytes_ = 0;
     std::set<const Exchange *> inProgress_;
     std::uint64_t digestSequence_ = 0;
--- a/src/portpaddle/gateway/state_exchange.cpp
+++ b/src/portpaddle/gateway/state_exchange.cpp
@@ -43,7 +43,7 @@
     if (!result || result->status != 200) {
         return malformed("did not come");
     }
-    Result<FeedNews> news = decodeChanges(body, BootClock::now());
+    Result<FeedUpdate> news = decodeChanges(body, BootClock::now());
     if (!isOk(news)) {
         return errorOf(news);
     }
@@ -56,9 +56,9 @@
 
 } // namespace
 
-std::string encodeState(const std::string &daemon, const std::vector<KeyValue> &items, const FeedNews &news)
+std::string encodeState(const std::string &daemon, const std::vector<KeyValue> &items, const FeedUpdate &news)
 {
-    FeedNews all = news;
+    FeedUpdate all = news;
     all.incomplete = false;
     all.changes.clear();
     for (const KeyValue &item : items) {
@@ -67,7 +67,7 @@
     return encodeChanges(daemon, all);
 }
 
-std::string encodeChanges(const std::string &daemon, const FeedNews &news)
+std::string encodeChanges(const std::string &daemon, const FeedUpdate &news)
 {
     Wire::FleetStateT state;
     state.daemon = daemon;
@@ -89,7 +89,7 @@
     return { reinterpret_cast<const char *>(builder.GetBufferPointer()), builder.GetSize() };
 }
 
-Result<FeedNews> decodeChanges(const std::string &bytes, SteadyTime now)
+Result<FeedUpdate> decodeChanges(const std::string &bytes, SteadyTime now)
 {
     const auto *data = reinterpret_cast<const std::uint8_t *>(bytes.data());
     flatbuffers::Verifier verifier(data, bytes.size());
@@ -98,7 +98,7 @@
     }
     Wire::FleetStateT state;
     flatbuffers::GetRoot<Wire::FleetState>(data)->UnPackTo(&state);
-    FeedNews news;
+    FeedUpdate news;
     news.revision = state.revision;
     news.confirmedAt = now - Millis(std::min<std::int64_t>(state.confirmed_age_ms, longestAgeMs));
     news.reachable = state.reachable;
--- a/src/portpaddle/gateway/state_exchange.h
+++ b/src/portpaddle/gateway/state_exchange.h
@@ -18,11 +18,11 @@
 inline constexpr std::size_t largestStateBytes = 8 * 1024 * 1024;
 
 /// All @p items that daemon @p daemon knows; @p news says of what revision they are at least.
-std::string encodeState(const std::string &daemon, const std::vector<KeyValue> &items, const FeedNews &news);
+std::string encodeState(const std::string &daemon, const std::vector<KeyValue> &items, const FeedUpdate &news);
 /// The changes of @p news.
-std::string encodeChanges(const std::string &daemon, const FeedNews &news);
+std::string encodeChanges(const std::string &daemon, const FeedUpdate &news);
 /// Decodes either of them; BadRequest if @p bytes is neither. Ages count back from @p now.
-Result<FeedNews> decodeChanges(const std::string &bytes, SteadyTime now);
+Result<FeedUpdate> decodeChanges(const std::string &bytes, SteadyTime now);
 
 /// Asks other daemons. Calls block.
 class PeerStateClient
--- a/src/portpaddle/gateway/key_follower.cpp
+++ b/src/portpaddle/gateway/store_watcher.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/gateway/key_follower.h"
+#include "portpaddle/gateway/store_watcher.h"
 
 #include <algorithm>
 #include <thread>
@@ -18,9 +18,9 @@
 constexpr unsigned mostDoublings = 4;
 // Changes come in bursts and each waiting call is paid for: the next one takes what gathered meanwhile. Short enough where
 // upstreams that leave and configurations allow three seconds.
-constexpr Millis usualGatherPause{ 500 };
+constexpr Millis usualCoalescingDelay{ 500 };
 // Changes that another daemon hands on have gathered there.
-constexpr Millis relayedGatherPause{ 100 };
+constexpr Millis relayedCoalescingDelay{ 100 };
 // Two rounds find a lost answer well within the few seconds that a configuration may take; each costs a tenth of a call.
 constexpr Millis verifyInterval{ 1'200 };
 constexpr Millis verifyStep{ 100 };
@@ -31,33 +31,33 @@
 
 } // namespace
 
-KeyFollower::KeyFollower(std::string prefix, WatchedStore &store, KeyListener &listener, const PeerStateClient *peers,
-                         WatchedStore *verifier)
+StoreWatcher::StoreWatcher(std::string prefix, WatchedStore &store, WatchListener &listener, const PeerStateClient *peers,
+                           WatchedStore *verifier)
     : prefix_(std::move(prefix))
     , store_(store)
     , listener_(listener)
     , peers_(peers)
     , verifier_(verifier)
-    , gatherPause_(usualGatherPause)
+    , coalescingDelay_(usualCoalescingDelay)
 {
 }
 
-KeyFollower::~KeyFollower()
+StoreWatcher::~StoreWatcher()
 {
     stop();
 }
 
-void KeyFollower::setGatherPause(Millis pause)
+void StoreWatcher::setCoalescingDelay(Millis pause)
 {
-    gatherPause_ = pause;
+    coalescingDelay_ = pause;
 }
 
-void KeyFollower::setFeed(ChangeFeed *feed)
+void StoreWatcher::setFeed(ChangeFeed *feed)
 {
     feed_ = feed;
 }
 
-void KeyFollower::start()
+void StoreWatcher::start()
 {
     thread_ = Thread("follow", [this] { run(); });
     if (verifier_ != nullptr) {
@@ -65,14 +65,14 @@
     }
 }
 
-void KeyFollower::stop()
+void StoreWatcher::stop()
 {
     stopping_ = true;
     thread_.join();
     verifierThread_.join();
 }
 
-void KeyFollower::run()
+void StoreWatcher::run()
 {
     while (!stopping_) {
         if (listed_ || list()) {
@@ -81,10 +81,10 @@
     }
 }
 
-bool KeyFollower::list()
+bool StoreWatcher::list()
 {
     // What this daemon knows already must not fall behind; one that knows nothing catches up with the first changes.
-    const ReadFreshness freshness = revision_ == 0 ? ReadFreshness::MayBeOld : ReadFreshness::Newest;
+    const ReadFreshness freshness = revision_ == 0 ? ReadFreshness::MayBeStale : ReadFreshness::Newest;
     const Result<KeyListing> listing = store_.listAll(prefix_, freshness);
     if (!isOk(listing)) {
         noteFailure(errorOf(listing));
@@ -100,11 +100,11 @@
     return true;
 }
 
-void KeyFollower::follow()
+void StoreWatcher::follow()
 {
     const Result<KeyChanges> reply = store_.follow(prefix_, revision_, waitTime);
     if (!isOk(reply)) {
-        listed_ = errorOf(reply).code != ErrorCode::HistoryGone;
+        listed_ = errorOf(reply).code != ErrorCode::HistoryCompacted;
         if (listed_) {
             noteFailure(errorOf(reply));
         }
@@ -122,12 +122,12 @@
         feed_->add(news.changes, revision_, news.confirmedAt);
     }
     if (!news.changes.empty() && !stopping_) {
-        std::this_thread::sleep_for(news.relayed ? relayedGatherPause : gatherPause_);
+        std::this_thread::sleep_for(news.relayed ? relayedCoalescingDelay : coalescingDelay_);
     }
 }
 
 /// A store may lose the answer to a waiting call and keep the connection: then changes pass by while the call still waits.
-void KeyFollower::verify()
+void StoreWatcher::verify()
 {
     std::uint64_t behindAt = 0;
     while (!stopping_) {
@@ -155,12 +155,12 @@
     }
 }
 
-void KeyFollower::noteFailure(const Error &error)
+void StoreWatcher::noteFailure(const Error &error)
 {
     if (!lost_) {
         lost_ = true;
         tellFeed(false);
-        listener_.storeLost(error);
+        listener_.onStoreUnavailable(error);
     }
     const Millis pause = std::min(longestPause, firstPause * (1U << std::min(failures_, mostDoublings)));
     ++failures_;
@@ -169,7 +169,7 @@
 }
 
 /// While the store is away other daemons may still reach it.
-void KeyFollower::askPeers()
+void StoreWatcher::askPeers()
 {
     const auto now = BootClock::now();
     if (peers_ == nullptr || now - askedPeersAt_ < betweenPeerQuestions) {
@@ -178,21 +178,21 @@
     askedPeersAt_ = now;
     const Result<std::vector<KeyValue>> items = peers_->fetch();
     if (isOk(items)) {
-        listener_.handedOn(valueOf(items));
+        listener_.receivedFromPeer(valueOf(items));
     }
 }
 
-void KeyFollower::noteSuccess()
+void StoreWatcher::noteSuccess()
 {
     failures_ = 0;
     if (lost_) {
         lost_ = false;
-        listener_.storeBack();
+        listener_.onStoreAvailable();
         tellFeed(true);
     }
 }
 
-void KeyFollower::tellFeed(bool reachable)
+void StoreWatcher::tellFeed(bool reachable)
 {
     if (feed_ != nullptr) {
         feed_->setReachable(reachable);
--- a/src/portpaddle/gateway/key_follower.h
+++ b/src/portpaddle/gateway/store_watcher.h
@@ -15,34 +15,34 @@
 namespace Portpaddle {
 
 /// Told of keys, on the follower's thread.
-class KeyListener
+class WatchListener
 {
 public:
-    virtual ~KeyListener() = default;
+    virtual ~WatchListener() = default;
     /// All keys; what was told before and is missing here is gone.
     virtual void listed(const std::vector<KeyValue> &items) = 0;
     /// In the order in which they happened.
     virtual void changed(const std::vector<KeyChange> &changes) = 0;
-    virtual void storeLost(const Error &error) = 0;
-    virtual void storeBack() = 0;
+    virtual void onStoreUnavailable(const Error &error) = 0;
+    virtual void onStoreAvailable() = 0;
     /// What another daemon last heard of the store; adds to what is known, removes nothing.
-    virtual void handedOn(const std::vector<KeyValue> &items) = 0;
+    virtual void receivedFromPeer(const std::vector<KeyValue> &items) = 0;
 };
 
 /// Runs a thread until the process ends or stop() is called.
-class KeyFollower
+class StoreWatcher
 {
 public:
     /// @p store and @p listener must outlive the follower, and @p peers if it is given: they are asked while the store is away.
     /// With @p verifier, another connection to the same store, a waiting call whose answer was lost is noticed and repeated.
-    KeyFollower(std::string prefix, WatchedStore &store, KeyListener &listener, const PeerStateClient *peers = nullptr,
-                WatchedStore *verifier = nullptr);
-    ~KeyFollower();
+    StoreWatcher(std::string prefix, WatchedStore &store, WatchListener &listener, const PeerStateClient *peers = nullptr,
+                 WatchedStore *verifier = nullptr);
+    ~StoreWatcher();
 
     /// Keeps @p feed, which must outlive the follower, for other daemons. Call before start().
     void setFeed(ChangeFeed *feed);
     /// How long changes gather before the next waiting call takes them. Call before start().
-    void setGatherPause(Millis pause);
+    void setCoalescingDelay(Millis pause);
     void start();
     /// Returns when the call in progress, if any, has ended.
     void stop();
@@ -59,12 +59,12 @@
 
     std::string prefix_;
     WatchedStore &store_;
-    KeyListener &listener_;
+    WatchListener &listener_;
     const PeerStateClient *peers_;
     SteadyTime askedPeersAt_{};
     WatchedStore *verifier_;
     ChangeFeed *feed_ = nullptr;
-    Millis gatherPause_;
+    Millis coalescingDelay_;
     std::atomic<std::uint64_t> revision_{ 0 };
     std::atomic<bool> listed_{ false };
     /// Changes come by way of another daemon.
--- a/src/portpaddle/interfaces/leased_store.h
+++ b/src/portpaddle/interfaces/leased_store.h
@@ -19,7 +19,7 @@
     virtual Result<LeaseGrant> grantLease(Millis timeToLive) = 0;
     /// NotFound when the lease is over.
     virtual Status keepLease(std::uint64_t lease) = 0;
-    virtual Status endLease(std::uint64_t lease) = 0;
+    virtual Status revokeLease(std::uint64_t lease) = 0;
     /// Writes whatever the key holds.
     virtual Result<std::uint64_t> write(const std::string &key, const std::string &value, std::uint64_t lease) = 0;
 };
--- a/src/portpaddle/interfaces/watched_store.h
+++ b/src/portpaddle/interfaces/watched_store.h
@@ -25,7 +25,7 @@
 
 /// Whether a listing may be some seconds old, which costs the store less. Whoever follows changes from its revision misses
 /// nothing.
-enum class ReadFreshness { Newest, MayBeOld };
+enum class ReadFreshness { Newest, MayBeStale };
 
 /// One change; the value is empty where the key was removed.
 struct KeyChange
@@ -51,7 +51,7 @@
 public:
     virtual ~WatchedStore() = default;
     virtual Result<KeyListing> listAll(const std::string &prefix, ReadFreshness freshness) = 0;
-    /// Waits up to @p timeout for changes after @p revision; HistoryGone means that the keys must be listed again.
+    /// Waits up to @p timeout for changes after @p revision; HistoryCompacted means that the keys must be listed again.
     virtual Result<KeyChanges> follow(const std::string &prefix, std::uint64_t revision, Millis timeout) = 0;
     /// The revision of the newest change; may be seconds old, and costs little.
     virtual Result<std::uint64_t> newestRevision() = 0;
--- a/src/portpaddle/upstream_limits/upstream_limits.cpp
+++ b/src/portpaddle/upstream_limits/upstream_limits.cpp
@@ -59,7 +59,7 @@
     return static_cast<unsigned>(std::clamp(shares, 1.0, std::max(1.0, static_cast<double>(members))));
 }
 
-UpstreamLimits::UpstreamLimits(LimitScope scope, SettledOwner &owners, Metrics &metrics)
+UpstreamLimits::UpstreamLimits(LimitScope scope, StableOwner &owners, Metrics &metrics)
     : scope_(std::move(scope)), owners_(owners), metrics_(metrics)
 {
 }
--- a/src/portpaddle/upstream_limits/upstream_limits.h
+++ b/src/portpaddle/upstream_limits/upstream_limits.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "portpaddle/fleet/load_aggregation.h"
-#include "portpaddle/fleet/settled_owner.h"
+#include "portpaddle/fleet/stable_owner.h"
 #include "portpaddle/gateway/fleet_view.h"
 #include "portpaddle/upstream_limits/limit_book.h"
 #include "portpaddle/upstream_limits/limit_pace.h"
@@ -40,7 +40,7 @@
     using WriteRecord = std::function<void(const StoredLimit &limit)>;
 
     /// @p owners ranks the daemons of the region; it must outlive this.
-    UpstreamLimits(LimitScope scope, SettledOwner &owners, Metrics &metrics);
+    UpstreamLimits(LimitScope scope, StableOwner &owners, Metrics &metrics);
 
     /// Without it limits are told to other daemons only.
     void setWriteRecord(WriteRecord write);
@@ -82,7 +82,7 @@
     bool isStored(std::uint64_t key, const KnownLimit &limit) const;
 
     LimitScope scope_;
-    SettledOwner &owners_;
+    StableOwner &owners_;
     Metrics &metrics_;
     WriteRecord write_;
     std::shared_ptr<const FleetView> view_;
--- a/tests/gateway/fleet_view_tests.cpp
+++ b/tests/gateway/fleet_view_tests.cpp
@@ -8,7 +8,7 @@
 #include "portpaddle/gateway/daemon_registration.h"
 #include "portpaddle/gateway/entry_choice.h"
 #include "portpaddle/gateway/event_splitter.h"
-#include "portpaddle/gateway/fleet_keeper.h"
+#include "portpaddle/gateway/fleet_registry.h"
 #include "portpaddle/gateway/gateway.h"
 #include "portpaddle/gateway/load_digest.h"
 #include "portpaddle/gateway/peer_turns.h"
@@ -45,7 +45,7 @@
 public:
     KeeperFixture()
     {
-        keeper.storeBack(now);
+        registry.onStoreAvailable(now);
     }
 
     bool knows(const std::string &id) const
@@ -54,7 +54,7 @@
     }
 
     RcuCell<FleetView> cell;
-    FleetKeeper keeper{ cell, [] {} };
+    FleetRegistry registry{ cell, [] {} };
 };
 
 std::shared_ptr<const ServiceMap> version(std::uint64_t number)
@@ -134,56 +134,56 @@
 
 TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, older configuration, is not taken")
 {
-    CHECK(keeper.takeConfiguration(version(7)));
-    CHECK_FALSE(keeper.takeConfiguration(version(6)));
-    CHECK_FALSE(keeper.takeConfiguration(version(7)));
+    CHECK(registry.takeConfiguration(version(7)));
+    CHECK_FALSE(registry.takeConfiguration(version(6)));
+    CHECK_FALSE(registry.takeConfiguration(version(7)));
     CHECK(cell.read()->services->version == 7);
 }
 
 TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, upstream that was leaving, stays so for its life")
 {
-    keeper.changeUpstream(upstream("u", true));
-    keeper.changeUpstream(upstream("u", false));
+    registry.changeUpstream(upstream("u", true));
+    registry.changeUpstream(upstream("u", false));
     CHECK_FALSE(cell.read()->takesRequests(cell.read()->upstreams.at("u")));
 }
 
 TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, record removed while the store is well, is gone at once")
 {
-    keeper.changeUpstream(upstream("u"));
-    keeper.removeUpstream("u", now + 10s);
+    registry.changeUpstream(upstream("u"));
+    registry.removeUpstream("u", now + 10s);
     CHECK_FALSE(knows("u"));
 }
 
 TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, store away, keeps what was known")
 {
-    keeper.changeUpstream(upstream("u"));
-    keeper.storeLost(now + 10s);
-    keeper.tick(now + 100s);
+    registry.changeUpstream(upstream("u"));
+    registry.onStoreUnavailable(now + 10s);
+    registry.tick(now + 100s);
     CHECK(knows("u"));
     CHECK_FALSE(cell.read()->storeReachable);
 }
 
 TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, record missing after an outage, counts until it could be back")
 {
-    keeper.changeUpstream(upstream("back"));
-    keeper.changeUpstream(upstream("gone"));
-    keeper.storeLost(now + 10s);
-    keeper.storeBack(now + 20s);
-    keeper.listUpstreams({}, now + 20s);
-    keeper.tick(now + 21s);
+    registry.changeUpstream(upstream("back"));
+    registry.changeUpstream(upstream("gone"));
+    registry.onStoreUnavailable(now + 10s);
+    registry.onStoreAvailable(now + 20s);
+    registry.listUpstreams({}, now + 20s);
+    registry.tick(now + 21s);
     CHECK(knows("gone"));
-    keeper.changeUpstream(upstream("back"));
-    keeper.tick(now + 23s);
+    registry.changeUpstream(upstream("back"));
+    registry.tick(now + 23s);
     CHECK(knows("back"));
     CHECK_FALSE(knows("gone"));
 }
 
 TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, evacuated data centre, takes no requests until it is taken back")
 {
-    keeper.changeUpstream(upstream("u"));
-    keeper.changeEvacuation("north-1", true);
+    registry.changeUpstream(upstream("u"));
+    registry.changeEvacuation("north-1", true);
     CHECK_FALSE(cell.read()->takesRequests(cell.read()->upstreams.at("u")));
-    keeper.changeEvacuation("north-1", false);
+    registry.changeEvacuation("north-1", false);
     CHECK(cell.read()->takesRequests(cell.read()->upstreams.at("u")));
 }
 
--- a/tests/gateway/load_aggregation_tests.cpp
+++ b/tests/gateway/load_aggregation_tests.cpp
@@ -6,7 +6,7 @@
 #include "portpaddle/base/system_clock.h"
 #include "portpaddle/fleet/load_aggregation.h"
 #include "portpaddle/fleet/role_ranking.h"
-#include "portpaddle/fleet/settled_owner.h"
+#include "portpaddle/fleet/stable_owner.h"
 #include "portpaddle/gateway/load_digest.h"
 #include "portpaddle/routing/rendezvous.h"
 
@@ -290,11 +290,11 @@
 {
     build(50, 0);
     for (std::size_t index = 0; index < 4; ++index) {
-        view->daemons.at(index * 10).strength = 0.5;
+        view->daemons.at(index * 10).cpuCores = 0.5;
     }
     unsigned strongFirst = 0;
     for (int role = 0; role < 100; ++role) {
-        strongFirst += rankForRole(*view, "north", fmt::format("role {}", role)).front()->strength > 0 ? 1 : 0;
+        strongFirst += rankForRole(*view, "north", fmt::format("role {}", role)).front()->cpuCores > 0 ? 1 : 0;
     }
     CHECK(strongFirst > 80);
 }
@@ -302,11 +302,11 @@
 TEST_CASE("Settled owner, daemons with the same list, are never two and one once it is known for a while")
 {
     std::vector<std::uint64_t> members;
-    std::vector<std::unique_ptr<SettledOwner>> owners;
+    std::vector<std::unique_ptr<StableOwner>> owners;
     for (int index = 0; index < 60; ++index) {
         const std::string id = fmt::format("d{}", index);
         members.push_back(stableHash(id));
-        owners.push_back(std::make_unique<SettledOwner>(id));
+        owners.push_back(std::make_unique<StableOwner>(id));
     }
     for (const auto &owner : owners) {
         owner->setMembers(members, start);
@@ -328,9 +328,9 @@
         all.push_back(stableHash(id));
     }
     for (std::uint64_t key = 1; key < 100; ++key) {
-        std::vector<std::unique_ptr<SettledOwner>> owners;
+        std::vector<std::unique_ptr<StableOwner>> owners;
         for (const std::string &id : ids) {
-            owners.push_back(std::make_unique<SettledOwner>(id));
+            owners.push_back(std::make_unique<StableOwner>(id));
             owners.back()->setMembers({ all[0], all[1], all[2] }, start);
         }
         // Each hears at another time, the last one two seconds after the first.
--- a/tests/gateway/store_client_tests.cpp
+++ b/tests/gateway/store_client_tests.cpp
@@ -99,7 +99,7 @@
         status = answered;
         return errorOf(client->follow("", 1, Millis(10))).code;
     };
-    CHECK(code(410) == ErrorCode::HistoryGone);
+    CHECK(code(410) == ErrorCode::HistoryCompacted);
     CHECK(code(404) == ErrorCode::NotFound);
     CHECK(code(429) == ErrorCode::PlatformUnavailable);
     CHECK(code(503) == ErrorCode::PlatformUnavailable);
--- a/tests/gateway/store_following_tests.cpp
+++ b/tests/gateway/store_following_tests.cpp
@@ -7,8 +7,8 @@
 #include "portpaddle/fleet/feed_server.h"
 #include "portpaddle/fleet/relayed_store.h"
 #include "portpaddle/gateway/daemon_registration.h"
-#include "portpaddle/gateway/key_follower.h"
 #include "portpaddle/gateway/state_exchange.h"
+#include "portpaddle/gateway/store_watcher.h"
 #include "support/daemon_records.h"
 #include "support/eventually.h"
 #include "support/scripted_store.h"
@@ -28,7 +28,7 @@
 namespace {
 
 /// Remembers what a follower told.
-class RecordingListener : public KeyListener
+class RecordingListener : public WatchListener
 {
 public:
     void listed(const std::vector<KeyValue> &items) override
@@ -53,17 +53,17 @@
         }
     }
 
-    void storeLost(const Error &) override
+    void onStoreUnavailable(const Error &) override
     {
         ++losses;
     }
 
-    void storeBack() override
+    void onStoreAvailable() override
     {
         ++returns;
     }
 
-    void handedOn(const std::vector<KeyValue> &items) override
+    void receivedFromPeer(const std::vector<KeyValue> &items) override
     {
         const std::lock_guard lock(mutex);
         for (const KeyValue &item : items) {
@@ -103,7 +103,7 @@
 
     ScriptedStore store;
     RecordingListener listener;
-    std::optional<KeyFollower> follower;
+    std::optional<StoreWatcher> follower;
 };
 
 } // namespace
@@ -152,7 +152,7 @@
     store.set("p/own", "1");
     store.setFailing(true);
     RecordingListener listener;
-    KeyFollower follower("p/", store, listener, &peers);
+    StoreWatcher follower("p/", store, listener, &peers);
     follower.start();
     CHECK(eventually([&] { return listener.has("p/known"); }));
     store.setFailing(false);
@@ -210,7 +210,7 @@
     FeedSource()
     {
         server_.Get(changesPath, [this](const httplib::Request &request, httplib::Response &response) {
-            const FeedNews news = feed.since(std::stoull(request.get_param_value("after")));
+            const FeedUpdate news = feed.since(std::stoull(request.get_param_value("after")));
             if (news.changes.empty() && news.reachable) {
                 std::this_thread::sleep_for(5ms);
             }
@@ -313,7 +313,7 @@
 {
     const auto changes = relayed.follow("", 3, 10ms);
     REQUIRE_FALSE(isOk(changes));
-    CHECK(errorOf(changes).code == ErrorCode::HistoryGone);
+    CHECK(errorOf(changes).code == ErrorCode::HistoryCompacted);
 }
 
 TEST_CASE_FIXTURE(RelayFixture,
@@ -332,7 +332,7 @@
         bool gone = false;
         for (int call = 0; call < 2; ++call) {
             const auto changes = relayed.follow("", 5, 10ms);
-            gone = gone || (!isOk(changes) && errorOf(changes).code == ErrorCode::HistoryGone);
+            gone = gone || (!isOk(changes) && errorOf(changes).code == ErrorCode::HistoryCompacted);
         }
         CHECK(gone);
         const auto listing = relayed.listAll("", ReadFreshness::Newest);
@@ -350,8 +350,8 @@
     store.set("k0", "1");
     FeedSource source;
     RecordingListener direct;
-    KeyFollower follower("", store, direct);
-    follower.setGatherPause(5ms);
+    StoreWatcher follower("", store, direct);
+    follower.setCoalescingDelay(5ms);
     follower.setFeed(&source.feed);
     follower.start();
     REQUIRE(eventually([&] { return direct.has("k0"); }));
@@ -360,11 +360,11 @@
     const FollowRole role{ false, { source.address() } };
     std::vector<std::unique_ptr<RelayedStore>> stores;
     std::vector<std::unique_ptr<RecordingListener>> listeners;
-    std::vector<std::unique_ptr<KeyFollower>> followers;
+    std::vector<std::unique_ptr<StoreWatcher>> followers;
     for (int index = 0; index < 6; ++index) {
         stores.push_back(std::make_unique<RelayedStore>(store, [&] { return role; }));
         listeners.push_back(std::make_unique<RecordingListener>());
-        followers.push_back(std::make_unique<KeyFollower>("", *stores.back(), *listeners.back()));
+        followers.push_back(std::make_unique<StoreWatcher>("", *stores.back(), *listeners.back()));
         followers.back()->start();
     }
     REQUIRE(eventually([&] {
@@ -396,7 +396,7 @@
     source.feed.restart(1, BootClock::now());
     store.set("k0", "1");
     RecordingListener listener;
-    KeyFollower follower("", relayed, listener, nullptr, &store);
+    StoreWatcher follower("", relayed, listener, nullptr, &store);
     follower.start();
     REQUIRE(eventually([&] { return listener.has("k0"); }));
     source.feed.add({ write("k1", 2) }, 2, BootClock::now());
--- a/tests/gateway/upstream_lives_tests.cpp
+++ b/tests/gateway/upstream_lives_tests.cpp
@@ -32,7 +32,7 @@
 public:
     StoreFixture()
     {
-        listener.storeBack();
+        listener.onStoreAvailable();
     }
 
     void put(const std::string &upstream, const std::string &value)
@@ -64,8 +64,8 @@
     std::uint64_t revision = 0;
     mutable std::shared_ptr<const FleetView> view;
     RcuCell<FleetView> cell;
-    FleetKeeper keeper{ cell, [] {} };
-    FleetListener listener{ keeper, { { "z1", "north" } } };
+    FleetRegistry registry{ cell, [] {} };
+    FleetListener listener{ registry, { { "z1", "north" } } };
 };
 
 /// A record with one field missing, of another type or out of its bounds.
@@ -164,7 +164,7 @@
 TEST_CASE_FIXTURE(StoreFixture, "Damaged record, while the store is away, takes the upstream out as well")
 {
     put("i-1", goodRecord);
-    listener.storeLost(Error{ ErrorCode::PlatformUnavailable, "test", RunState::NotRun, {} });
+    listener.onStoreUnavailable(Error{ ErrorCode::PlatformUnavailable, "test", RunState::NotRun, {} });
     put("i-1", "{");
     CHECK(find("i-1") == nullptr);
 }
--- a/tests/support/gateway_site.cpp
+++ b/tests/support/gateway_site.cpp
@@ -169,7 +169,7 @@
     terms.moveLead = std::chrono::hours(1);
     terms.listSettling = std::chrono::milliseconds(0);
     gateway_->setOptions(terms);
-    keeper_ = std::make_unique<FleetKeeper>(view_, [this] { boost::asio::post(loop_, [this] { gateway_->viewChanged(); }); });
+    registry_ = std::make_unique<FleetRegistry>(view_, [this] { boost::asio::post(loop_, [this] { gateway_->viewChanged(); }); });
     listener_ = std::make_unique<SessionListener>(loop_.get_executor(), SessionPeer::Caller, *gateway_, 64);
     daemonListener_ = std::make_unique<SessionListener>(loop_.get_executor(), SessionPeer::Daemon, *gateway_, 64);
     if (!isOk(listener_->listen("127.0.0.1:0")) || !isOk(daemonListener_->listen("127.0.0.1:0"))) {
@@ -185,13 +185,13 @@
     spec.connectionLimit = 100;
     routes.services["s"] = spec;
     thread_ = Thread("gateway", [this] { loop_.run(); });
-    keeper_->storeBack(BootClock::now());
+    registry_->onStoreAvailable(BootClock::now());
     DaemonRecord own;
     own.id = "d";
     own.region = "north";
     own.dataCentre = "north-1";
     if (registration == Registration::Listed) {
-        keeper_->changeDaemon(own);
+        registry_->changeDaemon(own);
         onLoop([](Gateway &) {});
         listedFor_ = std::make_unique<Suspension>(listedForLong);
         onLoop([](Gateway &gateway) { gateway.tick(); });
@@ -223,20 +223,20 @@
 {
     auto map = std::make_shared<ServiceMap>(routes);
     map->index();
-    keeper_->takeConfiguration(map);
+    registry_->takeConfiguration(map);
     ++routes.version;
     onLoop([](Gateway &) {});
 }
 
 void GatewaySite::addUpstream(const std::string &id, const std::string &address)
 {
-    keeper_->changeUpstream(makeUpstream(id, address));
+    registry_->changeUpstream(makeUpstream(id, address));
     onLoop([](Gateway &) {});
 }
 
 void GatewaySite::removeUpstream(const std::string &id)
 {
-    keeper_->removeUpstream(id, BootClock::now());
+    registry_->removeUpstream(id, BootClock::now());
     onLoop([](Gateway &) {});
 }
 
@@ -244,7 +244,7 @@
 {
     UpstreamRecord record = makeUpstream(id, address);
     record.coldUntil = BootClock::now() + std::chrono::minutes(1);
-    keeper_->changeUpstream(record);
+    registry_->changeUpstream(record);
     onLoop([](Gateway &) {});
 }
 
@@ -260,7 +260,7 @@
     record.id = id;
     record.region = region;
     record.linkAddress = address;
-    keeper_->changeDaemon(record);
+    registry_->changeDaemon(record);
     onLoop([&id, &region, &prompted](Gateway &gateway) {
         Wire::LoadDigestT digest;
         digest.daemon = id;
@@ -281,13 +281,13 @@
     record.id = id;
     record.region = "north";
     record.dataCentre = "north-1";
-    keeper_->changeDaemon(record);
+    registry_->changeDaemon(record);
     onLoop([](Gateway &) {});
 }
 
 void GatewaySite::removeDaemon(const std::string &id)
 {
-    keeper_->removeDaemon(id, BootClock::now());
+    registry_->removeDaemon(id, BootClock::now());
     onLoop([](Gateway &) {});
 }
 
@@ -296,7 +296,7 @@
     UpstreamRecord record = makeUpstream(id, address);
     record.leaving = true;
     record.goneAt = BootClock::now() + Millis(200);
-    keeper_->changeUpstream(record);
+    registry_->changeUpstream(record);
     onLoop([](Gateway &) {});
 }
 
--- a/tests/support/gateway_site.h
+++ b/tests/support/gateway_site.h
@@ -7,7 +7,7 @@
 #include "portpaddle/base/metrics.h"
 #include "portpaddle/base/system_clock.h"
 #include "portpaddle/base/thread.h"
-#include "portpaddle/gateway/fleet_keeper.h"
+#include "portpaddle/gateway/fleet_registry.h"
 #include "portpaddle/gateway/gateway.h"
 #include "portpaddle/gateway/session_listener.h"
 #include "support/suspended_clock.h"
@@ -116,7 +116,7 @@
     SeededRandom random_{ 7 };
     Metrics metrics_;
     std::unique_ptr<Gateway> gateway_;
-    std::unique_ptr<FleetKeeper> keeper_;
+    std::unique_ptr<FleetRegistry> registry_;
     std::unique_ptr<SessionListener> listener_;
     std::unique_ptr<SessionListener> daemonListener_;
     std::unique_ptr<Suspension> listedFor_;
--- a/tests/support/limit_fleet.cpp
+++ b/tests/support/limit_fleet.cpp
@@ -45,7 +45,7 @@
 {
     std::string name;
     unsigned life = 0;
-    std::unique_ptr<SettledOwner> owners;
+    std::unique_ptr<StableOwner> owners;
     std::unique_ptr<UpstreamLimits> limits;
     std::unique_ptr<LimitPace> pace;
     DemandCounters asked;
@@ -127,7 +127,7 @@
 void LimitFleet::start(Daemon &daemon)
 {
     ++daemon.life;
-    daemon.owners = std::make_unique<SettledOwner>(daemon.name);
+    daemon.owners = std::make_unique<StableOwner>(daemon.name);
     daemon.limits = std::make_unique<UpstreamLimits>(LimitScope{ daemon.name, region }, *daemon.owners, metrics_);
     daemon.limits->setWriteRecord(
         [this](const StoredLimit &limit) { writes_.emplace(now_ + randomTime(longestStoreTime), limit); });
--- a/tests/support/scripted_store.h
+++ b/tests/support/scripted_store.h
@@ -122,7 +122,7 @@
             return down();
         }
         if (revision < forgottenTo_) {
-            return Error{ ErrorCode::HistoryGone, "forgotten", RunState::NotRun, {} };
+            return Error{ ErrorCode::HistoryCompacted, "forgotten", RunState::NotRun, {} };
         }
         changes.revision = revision_;
         changes.confirmedAt = BootClock::now();
@@ -170,7 +170,7 @@
         return leases_.contains(lease) ? success() : Status(Error{ ErrorCode::NotFound, "no lease", RunState::NotRun, {} });
     }
 
-    Status endLease(std::uint64_t lease) override
+    Status revokeLease(std::uint64_t lease) override
     {
         const std::lock_guard lock(mutex_);
         ++calls_;
