--- a/benchmarks/limit_ways.cpp
+++ b/benchmarks/limit_ways.cpp
@@ -35,7 +35,7 @@
 void printCost()
 {
     constexpr int requests = 200'000;
-    OrganisationBook book;
+    OrganisationTable book;
     for (int number = 0; number < 16; ++number) {
         Organisation organisation;
         organisation.name = fmt::format("organisation-{}", number);
--- a/benchmarks/virtual_site.h
+++ b/benchmarks/virtual_site.h
@@ -6,7 +6,7 @@
 
 #include "portpaddle/base/system_clock.h"
 #include "portpaddle/routing/decision.h"
-#include "portpaddle/routing/upstream_book.h"
+#include "portpaddle/routing/upstream_table.h"
 
 #include <functional>
 #include <list>
--- a/src/portpaddle/claims/claim_book.cpp
+++ b/src/portpaddle/claims/claim_store.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/claims/claim_book.h"
+#include "portpaddle/claims/claim_store.h"
 
 #include "portpaddle/base/digest.h"
 #include "portpaddle/interfaces/clock.h"
@@ -54,12 +54,12 @@
 
 } // namespace
 
-ClaimBook::ClaimBook(KeyValueStore &store, const Clock &clock, RandomSource &random, std::string daemon, RanLookup ranElsewhere)
+ClaimStore::ClaimStore(KeyValueStore &store, const Clock &clock, RandomSource &random, std::string daemon, RanLookup ranElsewhere)
     : store_(store), clock_(clock), random_(random), daemon_(std::move(daemon)), ranElsewhere_(std::move(ranElsewhere))
 {
 }
 
-Result<Claim> ClaimBook::acquire(const std::string &organisation, const std::string &service, const std::string &idempotencyKey)
+Result<Claim> ClaimStore::acquire(const std::string &organisation, const std::string &service, const std::string &idempotencyKey)
 {
     const Millis askedAt = clock_.monotonic();
     const Result<std::uint64_t> lease = currentLease();
@@ -78,13 +78,13 @@
     return claim;
 }
 
-void ClaimBook::release(const Claim &claim)
+void ClaimStore::release(const Claim &claim)
 {
     // When this fails the key stays taken and repeats are refused as "may have run": safe, though not helpful.
     store_.remove(claim.key, claim.revision);
 }
 
-void ClaimBook::markRan(const Claim &claim)
+void ClaimStore::markRan(const Claim &claim)
 {
     // Kept here and asked for by peers: a second write would halve the calls that the platform has room for.
     const std::lock_guard lock(mutex_);
@@ -97,13 +97,13 @@
     }
 }
 
-bool ClaimBook::ranHere(const std::string &key) const
+bool ClaimStore::ranHere(const std::string &key) const
 {
     const std::lock_guard lock(mutex_);
     return ran_.count(key) != 0;
 }
 
-Result<std::uint64_t> ClaimBook::currentLease()
+Result<std::uint64_t> ClaimStore::currentLease()
 {
     const std::lock_guard lock(mutex_);
     const Millis now = clock_.monotonic();
@@ -119,7 +119,7 @@
     return lease_;
 }
 
-Result<Claim> ClaimBook::settle(Claim claim, const Error &writeError)
+Result<Claim> ClaimStore::settle(Claim claim, const Error &writeError)
 {
     if (writeError.code == ErrorCode::NotFound) {
         const std::lock_guard lock(mutex_);
@@ -147,7 +147,7 @@
     return duplicate(claim.key, valueOf(stored)->value);
 }
 
-Result<Claim> ClaimBook::replaceAbandoned(Claim claim, const KeyValue &stored)
+Result<Claim> ClaimStore::replaceAbandoned(Claim claim, const KeyValue &stored)
 {
     // The swap succeeds for one caller only, so that two repeats at once cannot both take the place.
     const Result<std::uint64_t> lease = currentLease();
@@ -161,7 +161,7 @@
     return claim;
 }
 
-void ClaimBook::abandon(const Claim &claim)
+void ClaimStore::abandon(const Claim &claim)
 {
     const std::lock_guard lock(mutex_);
     abandoned_.push_back(claim.claimId);
@@ -170,13 +170,13 @@
     }
 }
 
-bool ClaimBook::isAbandoned(const std::string &claimId) const
+bool ClaimStore::isAbandoned(const std::string &claimId) const
 {
     const std::lock_guard lock(mutex_);
     return std::find(abandoned_.begin(), abandoned_.end(), claimId) != abandoned_.end();
 }
 
-Error ClaimBook::duplicate(const std::string &key, const std::string &record) const
+Error ClaimStore::duplicate(const std::string &key, const std::string &record) const
 {
     const nlohmann::json json = nlohmann::json::parse(record, nullptr, false);
     const bool named = json.is_object() && json.contains("daemon") && json["daemon"].is_string();
--- a/src/portpaddle/claims/claim_book.h
+++ b/src/portpaddle/claims/claim_store.h
@@ -30,13 +30,13 @@
 };
 
 /// Acquires and releases claims.
-class ClaimBook
+class ClaimStore
 {
 public:
     /// Asks the daemon that holds a claim whether the call under its key ran.
     using RanLookup = std::function<bool(const std::string &daemon, const std::string &key)>;
 
-    ClaimBook(KeyValueStore &store, const Clock &clock, RandomSource &random, std::string daemon, RanLookup ranElsewhere = {});
+    ClaimStore(KeyValueStore &store, const Clock &clock, RandomSource &random, std::string daemon, RanLookup ranElsewhere = {});
 
     /// Acquires the only claim for @p idempotencyKey. DuplicateRequest when one exists; ClaimUnavailable when it cannot be proved
     /// that none does. In both failures this daemon has not run the call and never will.
--- a/src/portpaddle/daemon/daemon.h
+++ b/src/portpaddle/daemon/daemon.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "portpaddle/base/metrics.h"
-#include "portpaddle/claims/claim_book.h"
+#include "portpaddle/claims/claim_store.h"
 #include "portpaddle/control/audit_trail.h"
 #include "portpaddle/control/membership_controller.h"
 #include "portpaddle/control/observer_controller.h"
@@ -78,7 +78,7 @@
     SnapshotBuilder snapshots_;
     TraceRing traces_;
     HttpUpstreamClient upstreamClient_;
-    ClaimBook claims_;
+    ClaimStore claims_;
     Authenticator authenticator_;
     AuditTrail audit_;
     PeerLinks links_;
--- a/src/portpaddle/dispatch/dispatcher.cpp
+++ b/src/portpaddle/dispatch/dispatcher.cpp
@@ -5,7 +5,7 @@
 
 #include "portpaddle/base/log.h"
 #include "portpaddle/base/metrics.h"
-#include "portpaddle/claims/claim_book.h"
+#include "portpaddle/claims/claim_store.h"
 #include "portpaddle/dispatch/token_stream.h"
 #include "portpaddle/interfaces/clock.h"
 
--- a/src/portpaddle/dispatch/dispatcher.h
+++ b/src/portpaddle/dispatch/dispatcher.h
@@ -16,7 +16,7 @@
 
 namespace Portpaddle {
 
-class ClaimBook;
+class ClaimStore;
 class Clock;
 class Metrics;
 class RandomSource;
@@ -31,7 +31,7 @@
     UpstreamClient &upstreams;
     PeerForwarder &peers;
     RemoteDispatches &remoteDispatches;
-    ClaimBook &claims;
+    ClaimStore &claims;
     TraceRing &traces;
 };
 
--- a/src/portpaddle/gateway/exchange_admission.cpp
+++ b/src/portpaddle/gateway/exchange_admission.cpp
@@ -61,7 +61,7 @@
 
 Task<bool> Exchange::findOrganisation()
 {
-    const OrganisationBook &book = services_->organisations;
+    const OrganisationTable &book = services_->organisations;
     // The daemon that took the request from its caller has seen the key; it is not handed on.
     organisation_ = request_.relayed ? book.findByName(request_.organisation)
                                      : book.findByAuthorization(viewOf(request_.message[gateway_.names_.authorization]));
--- a/src/portpaddle/gateway/fleet_view.h
+++ b/src/portpaddle/gateway/fleet_view.h
@@ -7,7 +7,7 @@
 #include "portpaddle/crashes/quarantine.h"
 #include "portpaddle/gateway/service_map.h"
 #include "portpaddle/net/asio.h"
-#include "portpaddle/upstream_limits/limit_book.h"
+#include "portpaddle/upstream_limits/limit_table.h"
 
 #include <memory>
 #include <optional>
--- a/src/portpaddle/gateway/service_map.h
+++ b/src/portpaddle/gateway/service_map.h
@@ -98,7 +98,7 @@
     std::unordered_map<std::string, ServiceSpec> services;
     CallerLimits limits;
     /// Where there are none, callers need no key.
-    OrganisationBook organisations;
+    OrganisationTable organisations;
 
     /// Builds the index; call once after filling the fields.
     void index();
--- a/src/portpaddle/limits/organisation_limits.cpp
+++ b/src/portpaddle/limits/organisation_limits.cpp
@@ -60,7 +60,7 @@
     tolerance_ = tolerance;
 }
 
-void OrganisationLimits::setOrganisations(const OrganisationBook &book, SteadyTime now)
+void OrganisationLimits::setOrganisations(const OrganisationTable &book, SteadyTime now)
 {
     std::set<std::uint32_t> limited;
     for (const auto &organisation : book.all()) {
--- a/src/portpaddle/limits/organisation_limits.h
+++ b/src/portpaddle/limits/organisation_limits.h
@@ -36,7 +36,7 @@
     /// What may go over limits. Call before setOrganisations().
     void setTolerance(const LimitTolerance &tolerance);
     /// The limits in force; those that stay keep what was counted.
-    void setOrganisations(const OrganisationBook &book, SteadyTime now);
+    void setOrganisations(const OrganisationTable &book, SteadyTime now);
     /// All regions of the fleet, and how many daemons there are.
     void setFleet(std::set<std::string> regions, unsigned daemons);
 
--- a/src/portpaddle/limits/organisations.cpp
+++ b/src/portpaddle/limits/organisations.cpp
@@ -77,7 +77,7 @@
     return isHome(homeRegions, region);
 }
 
-void OrganisationBook::add(Organisation organisation, const std::vector<std::string> &keys)
+void OrganisationTable::add(Organisation organisation, const std::vector<std::string> &keys)
 {
     if (all_.size() >= mostOrganisations || byKey_.size() + keys.size() > mostKeys) {
         throw std::invalid_argument("too many organisations or keys");
@@ -99,17 +99,17 @@
     }
 }
 
-bool OrganisationBook::empty() const
+bool OrganisationTable::empty() const
 {
     return all_.empty();
 }
 
-const std::vector<std::shared_ptr<const Organisation>> &OrganisationBook::all() const
+const std::vector<std::shared_ptr<const Organisation>> &OrganisationTable::all() const
 {
     return all_;
 }
 
-const Organisation *OrganisationBook::findByAuthorization(std::string_view authorization) const
+const Organisation *OrganisationTable::findByAuthorization(std::string_view authorization) const
 {
     const std::string_view given = authorization.substr(0, scheme.size());
     if (!boost::beast::iequals({ given.data(), given.size() }, { scheme.data(), scheme.size() })) {
@@ -125,7 +125,7 @@
     return proved ? found->second.organisation : nullptr;
 }
 
-const Organisation *OrganisationBook::findByName(std::string_view name) const
+const Organisation *OrganisationTable::findByName(std::string_view name) const
 {
     const auto found = byName_.find(std::string(name));
     return found == byName_.end() ? nullptr : found->second;
--- a/src/portpaddle/limits/organisations.h
+++ b/src/portpaddle/limits/organisations.h
@@ -58,7 +58,7 @@
 inline constexpr std::size_t longestKey = 512;
 
 /// Filled once, read by all afterwards. Keeps keyed digests in place of keys.
-class OrganisationBook
+class OrganisationTable
 {
 public:
     /// Throws std::invalid_argument for a name that is there already, a key of another organisation, or a bound exceeded.
--- a/src/portpaddle/routing/blackboard.h
+++ b/src/portpaddle/routing/blackboard.h
@@ -7,7 +7,7 @@
 #include "portpaddle/base/rcu_cell.h"
 #include "portpaddle/limits/limiter.h"
 #include "portpaddle/routing/routing_snapshot.h"
-#include "portpaddle/routing/upstream_book.h"
+#include "portpaddle/routing/upstream_table.h"
 
 #include <atomic>
 #include <string>
@@ -74,7 +74,7 @@
     RcuCell<SummaryTable> summaries;
     RcuCell<PlatformView> platform;
     RcuCell<RoutingSnapshot> routing;
-    UpstreamBook upstreams;
+    UpstreamTable upstreams;
     Limiter limiter;
     std::atomic<bool> draining{ false };
 };
--- a/src/portpaddle/routing/upstream_book.cpp
+++ b/src/portpaddle/routing/upstream_table.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/routing/upstream_book.h"
+#include "portpaddle/routing/upstream_table.h"
 
 #include "portpaddle/base/log.h"
 
@@ -71,7 +71,7 @@
     return count_.load(std::memory_order_relaxed);
 }
 
-bool UpstreamBook::takeReport(const UpstreamReport &report)
+bool UpstreamTable::takeReport(const UpstreamReport &report)
 {
     const std::lock_guard lock(mutex_);
     UpstreamState &state = states_[report.upstream];
@@ -91,7 +91,7 @@
     return true;
 }
 
-void UpstreamBook::markLeavingByVmList(const std::vector<std::string> &upstreams)
+void UpstreamTable::markLeavingByVmList(const std::vector<std::string> &upstreams)
 {
     const std::lock_guard lock(mutex_);
     for (auto &[id, state] : states_) {
@@ -102,7 +102,7 @@
     }
 }
 
-void UpstreamBook::attemptSucceeded(const std::string &upstream)
+void UpstreamTable::attemptSucceeded(const std::string &upstream)
 {
     const std::lock_guard lock(mutex_);
     UpstreamState &state = states_[upstream];
@@ -110,7 +110,7 @@
     state.ejections = 0;
 }
 
-void UpstreamBook::attemptFailed(const std::string &upstream, Millis now)
+void UpstreamTable::attemptFailed(const std::string &upstream, Millis now)
 {
     const std::lock_guard lock(mutex_);
     UpstreamState &state = states_[upstream];
@@ -126,13 +126,13 @@
     logEvent(LogEvent::UpstreamEjected, { { "upstream", upstream }, { "for_ms", std::to_string(ejection.count()) } });
 }
 
-std::shared_ptr<DispatchCounter> UpstreamBook::dispatches(const std::string &upstream)
+std::shared_ptr<DispatchCounter> UpstreamTable::dispatches(const std::string &upstream)
 {
     const std::lock_guard lock(mutex_);
     return states_[upstream].dispatches;
 }
 
-void UpstreamBook::describe(std::vector<UpstreamView> &views, Millis now) const
+void UpstreamTable::describe(std::vector<UpstreamView> &views, Millis now) const
 {
     const std::lock_guard lock(mutex_);
     for (UpstreamView &view : views) {
@@ -149,7 +149,7 @@
     }
 }
 
-std::vector<UpstreamReport> UpstreamBook::reports() const
+std::vector<UpstreamReport> UpstreamTable::reports() const
 {
     const std::lock_guard lock(mutex_);
     std::vector<UpstreamReport> result;
@@ -160,7 +160,7 @@
     return result;
 }
 
-void UpstreamBook::keepOnly(const std::vector<std::string> &known)
+void UpstreamTable::keepOnly(const std::vector<std::string> &known)
 {
     const std::lock_guard lock(mutex_);
     std::erase_if(states_, [&](const auto &entry) { return std::find(known.begin(), known.end(), entry.first) == known.end(); });
--- a/src/portpaddle/routing/upstream_book.h
+++ b/src/portpaddle/routing/upstream_table.h
@@ -60,7 +60,7 @@
 };
 
 /// Thread-safe; the request path touches it only at the start and the end of an attempt.
-class UpstreamBook
+class UpstreamTable
 {
 public:
     /// False when the report is older than what is held.
--- a/src/portpaddle/upstream_limits/limit_book.cpp
+++ b/src/portpaddle/upstream_limits/limit_table.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/upstream_limits/limit_book.h"
+#include "portpaddle/upstream_limits/limit_table.h"
 
 #include <cmath>
 #include <utility>
@@ -23,7 +23,7 @@
     return one.ended == other.ended && (one.ended || std::abs(one.perSecond - other.perSecond) <= sameRate * one.perSecond);
 }
 
-LimitChange LimitBook::put(std::uint64_t upstream, KnownLimit limit)
+LimitChange LimitTable::put(std::uint64_t upstream, KnownLimit limit)
 {
     const auto [entry, added] = limits_.try_emplace(upstream, limit);
     KnownLimit &known = entry->second;
@@ -43,20 +43,20 @@
     return limitedBefore ? LimitChange::Changed : LimitChange::Named;
 }
 
-LimitChange LimitBook::named(std::uint64_t upstream, double perSecond, SteadyTime now)
+LimitChange LimitTable::named(std::uint64_t upstream, double perSecond, SteadyTime now)
 {
     return put(upstream, { perSecond, false, now, now, false, "answer" });
 }
 
 // An answer to a request that was on its way when the limit was named may be older than the answer that named it.
-LimitChange LimitBook::answeredWithout(std::uint64_t upstream, SteadyTime sentAt, SteadyTime now)
+LimitChange LimitTable::answeredWithout(std::uint64_t upstream, SteadyTime sentAt, SteadyTime now)
 {
     const KnownLimit *known = find(upstream);
     const bool stands = known == nullptr || known->ended || (!known->onlyStored && sentAt <= known->saidAt);
     return stands ? LimitChange::None : put(upstream, { known->perSecond, true, now, now, false, "answer" });
 }
 
-LimitChange LimitBook::told(std::uint64_t upstream, const KnownLimit &limit, SteadyTime now)
+LimitChange LimitTable::told(std::uint64_t upstream, const KnownLimit &limit, SteadyTime now)
 {
     const KnownLimit *known = find(upstream);
     if (known == nullptr && limit.ended) {
@@ -72,7 +72,7 @@
     return put(upstream, std::move(taken));
 }
 
-LimitChange LimitBook::stored(std::uint64_t upstream, double perSecond, SteadyTime now)
+LimitChange LimitTable::stored(std::uint64_t upstream, double perSecond, SteadyTime now)
 {
     const KnownLimit *known = find(upstream);
     const bool saidByOthers = known != nullptr && !known->onlyStored;
@@ -82,18 +82,18 @@
     return put(upstream, { perSecond, perSecond <= 0, now, SteadyTime{}, true, "platform" });
 }
 
-const KnownLimit *LimitBook::find(std::uint64_t upstream) const
+const KnownLimit *LimitTable::find(std::uint64_t upstream) const
 {
     const auto found = limits_.find(upstream);
     return found == limits_.end() ? nullptr : &found->second;
 }
 
-const std::unordered_map<std::uint64_t, KnownLimit> &LimitBook::all() const
+const std::unordered_map<std::uint64_t, KnownLimit> &LimitTable::all() const
 {
     return limits_;
 }
 
-void LimitBook::forget(std::uint64_t upstream)
+void LimitTable::forget(std::uint64_t upstream)
 {
     limits_.erase(upstream);
 }
--- a/src/portpaddle/upstream_limits/limit_book.h
+++ b/src/portpaddle/upstream_limits/limit_table.h
@@ -35,7 +35,7 @@
 enum class LimitChange { None, Named, Changed, Ended };
 
 /// Belongs to one event loop. Times of other daemons are in this daemon's clock.
-class LimitBook
+class LimitTable
 {
 public:
     /// An answer that arrived now names @p perSecond.
--- a/src/portpaddle/upstream_limits/upstream_limits.h
+++ b/src/portpaddle/upstream_limits/upstream_limits.h
@@ -7,10 +7,10 @@
 #include "portpaddle/fleet/load_aggregation.h"
 #include "portpaddle/fleet/stable_owner.h"
 #include "portpaddle/gateway/fleet_view.h"
-#include "portpaddle/upstream_limits/limit_book.h"
 #include "portpaddle/upstream_limits/limit_pace.h"
 #include "portpaddle/upstream_limits/limit_reading.h"
 #include "portpaddle/upstream_limits/limit_record.h"
+#include "portpaddle/upstream_limits/limit_table.h"
 #include "portpaddle/upstream_limits/limit_teller.h"
 
 #include <functional>
@@ -90,7 +90,7 @@
     std::unordered_map<std::uint64_t, std::string> names_;
     /// Where the other daemons of the region are reached.
     std::vector<std::string> links_;
-    LimitBook book_;
+    LimitTable book_;
     LimitTeller teller_;
     std::unordered_map<std::uint64_t, LimitPace> paces_;
     /// When a record was last written.
--- a/tests/gateway/limit_book_tests.cpp
+++ b/tests/gateway/limit_table_tests.cpp
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/upstream_limits/limit_book.h"
 #include "portpaddle/upstream_limits/limit_pace.h"
 #include "portpaddle/upstream_limits/limit_reading.h"
 #include "portpaddle/upstream_limits/limit_record.h"
+#include "portpaddle/upstream_limits/limit_table.h"
 #include "portpaddle/upstream_limits/limit_teller.h"
 #include "portpaddle/upstream_limits/upstream_limits.h"
 
@@ -35,7 +35,7 @@
         return { perSecond, ended, {}, saidAt, false, "other" };
     }
 
-    LimitBook book;
+    LimitTable book;
 };
 
 LimitReading read(std::initializer_list<const char *> values)
@@ -131,7 +131,7 @@
 // A VM that has just been made has a clock that counts from its start: what others say may be older than that.
 TEST_CASE("Limit of the platform's record, older news on a VM that has just started, gives way")
 {
-    LimitBook book;
+    LimitTable book;
     CHECK(book.stored(upstream, 9, SteadyTime{ 2s }) == LimitChange::Named);
     CHECK(book.told(upstream, { 4, false, {}, SteadyTime{ 3s } - 10min, false, "other" }, SteadyTime{ 3s })
           == LimitChange::Changed);
@@ -140,14 +140,14 @@
 
 TEST_CASE("Limit of the platform's record, answer without one, has ended")
 {
-    LimitBook book;
+    LimitTable book;
     book.stored(upstream, 9, start);
     CHECK(book.answeredWithout(upstream, start + 1ms, start + 1s) == LimitChange::Ended);
 }
 
 TEST_CASE("Ended limit, told of an upstream that never named one, is nothing new")
 {
-    LimitBook book;
+    LimitTable book;
     CHECK(book.told(upstream, { 2, true, {}, start, false, "other" }, start) == LimitChange::None);
     CHECK(book.find(upstream) == nullptr);
 }
--- a/tests/gateway/organisation_limits_tests.cpp
+++ b/tests/gateway/organisation_limits_tests.cpp
@@ -89,7 +89,7 @@
 
     SteadyTime now{ 1h };
     Organisation shop;
-    OrganisationBook book;
+    OrganisationTable book;
     SeededRandom random{ 5 };
     OrganisationLimits limits{ "d1", "north", [](std::uint32_t, SteadyTime) { return false; },
                                [](const std::string &, SteadyTime) { return false; } };
--- a/tests/gateway/organisation_tests.cpp
+++ b/tests/gateway/organisation_tests.cpp
@@ -40,7 +40,7 @@
     /// Replaces all organisations.
     void publishShop(Organisation shop, const std::vector<std::string> &keys = { "key-of-shop" })
     {
-        routes.organisations = OrganisationBook{};
+        routes.organisations = OrganisationTable{};
         routes.organisations.add(std::move(shop), keys);
         publishRoutes();
     }
@@ -207,7 +207,7 @@
 
 TEST_CASE("Organisations, bounds and doubled names or keys, are refused")
 {
-    OrganisationBook book;
+    OrganisationTable book;
     book.add(organisation("shop"), { "a", "b" });
     CHECK_THROWS_AS(book.add(organisation("shop"), {}), std::invalid_argument);
     CHECK_THROWS_AS(book.add(organisation("bank"), { "a" }), std::invalid_argument);
--- a/tests/introspective/claim_tests.cpp
+++ b/tests/introspective/claim_tests.cpp
@@ -4,7 +4,7 @@
 // Claims on calls that may not be repeated, and the audit trail, under the platform's faults.
 
 #include "portpaddle/base/system_clock.h"
-#include "portpaddle/claims/claim_book.h"
+#include "portpaddle/claims/claim_store.h"
 #include "portpaddle/control/audit_trail.h"
 #include "portpaddle/platform/memory_platform.h"
 #include "support/manual_clock.h"
@@ -20,7 +20,7 @@
 class ClaimFixture
 {
 public:
-    Result<Claim> acquire(ClaimBook &book)
+    Result<Claim> acquire(ClaimStore &book)
     {
         return book.acquire("o", "s", "key-1");
     }
@@ -28,10 +28,10 @@
     ManualClock clock;
     MemoryPlatform platform{ clock };
     SeededRandom random{ 3 };
-    ClaimBook first{ platform, clock, random, "d1" };
-    ClaimBook second{ platform, clock, random, "d2", [this](const std::string &daemon, const std::string &key) {
-                         return daemon == "d1" && first.ranHere(key);
-                     } };
+    ClaimStore first{ platform, clock, random, "d1" };
+    ClaimStore second{ platform, clock, random, "d2", [this](const std::string &daemon, const std::string &key) {
+                          return daemon == "d1" && first.ranHere(key);
+                      } };
 };
 
 } // namespace
@@ -150,14 +150,14 @@
     ManualClock clock;
     VanishingPlatform platform(clock);
     SeededRandom random(1);
-    ClaimBook book(platform, clock, random, "d1");
+    ClaimStore book(platform, clock, random, "d1");
     const Result<Claim> unproved = book.acquire("o", "s", "key-1");
     REQUIRE(!isOk(unproved));
     CHECK(errorOf(unproved).code == ErrorCode::ClaimUnavailable);
     CHECK(errorOf(unproved).run == RunState::NotRun);
     platform.vanishes = false;
     platform.setFaults({});
-    ClaimBook other(platform, clock, random, "d2");
+    ClaimStore other(platform, clock, random, "d2");
     CHECK(errorOf(other.acquire("o", "s", "key-1")).code == ErrorCode::DuplicateRequest);
     CHECK(isOk(book.acquire("o", "s", "key-1")));
     CHECK(errorOf(book.acquire("o", "s", "key-1")).code == ErrorCode::DuplicateRequest);
--- a/tests/introspective/cost_tests.cpp
+++ b/tests/introspective/cost_tests.cpp
@@ -4,7 +4,7 @@
 // Bounds on costs that repeat exactly: allocations, bytes and calls to the platform. Time is judged in benchmarks only.
 
 #include "portpaddle/base/system_clock.h"
-#include "portpaddle/claims/claim_book.h"
+#include "portpaddle/claims/claim_store.h"
 #include "portpaddle/membership/gossip_message.h"
 #include "portpaddle/platform/memory_platform.h"
 #include "portpaddle/routing/decision.h"
@@ -110,7 +110,7 @@
     ManualClock clock;
     MemoryPlatform platform(clock);
     SeededRandom random(1);
-    ClaimBook book(platform, clock, random, "d");
+    ClaimStore book(platform, clock, random, "d");
     for (int index = 0; index < 100; ++index) {
         const Result<Claim> claim = book.acquire("o", "s", "key-" + std::to_string(index));
         REQUIRE(isOk(claim));
--- a/tests/introspective/dispatch_tests.cpp
+++ b/tests/introspective/dispatch_tests.cpp
@@ -5,7 +5,7 @@
 
 #include "portpaddle/base/metrics.h"
 #include "portpaddle/base/system_clock.h"
-#include "portpaddle/claims/claim_book.h"
+#include "portpaddle/claims/claim_store.h"
 #include "portpaddle/dispatch/answer_channel.h"
 #include "portpaddle/dispatch/dispatcher.h"
 #include "portpaddle/dispatch/token_stream.h"
@@ -118,7 +118,7 @@
     SnapshotBuilder snapshots{ board, clock, remoteDispatches };
     ScriptedUpstreams upstreams;
     ScriptedPeers peers;
-    ClaimBook claims{ platform, clock, random, "d1" };
+    ClaimStore claims{ platform, clock, random, "d1" };
     TraceRing traces;
     Dispatcher dispatcher{ DispatcherParts{ board, clock, random, metrics, upstreams, peers, remoteDispatches, claims, traces } };
     RecordingSink sink;
--- a/tests/support/limit_scenario.cpp
+++ b/tests/support/limit_scenario.cpp
@@ -124,7 +124,7 @@
     {
         organisation_.name = "shop";
         organisation_.limit = limit;
-        book_ = OrganisationBook{};
+        book_ = OrganisationTable{};
         book_.add(organisation_, {});
         for (auto &daemon : daemons_) {
             daemon->setOrganisations(book_, now);
@@ -215,7 +215,7 @@
 
     SeededRandom random_;
     Organisation organisation_;
-    OrganisationBook book_;
+    OrganisationTable book_;
     std::vector<std::unique_ptr<OrganisationLimits>> daemons_;
     std::vector<bool> alive_;
     std::set<std::string> silent_;
