--- a/src/portpaddle/crashes/survivors.cpp
+++ b/src/portpaddle/crashes/completed_requests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/crashes/survivors.h"
+#include "portpaddle/crashes/completed_requests.h"
 
 #include "portpaddle/net/beast_text.h"
 
@@ -28,17 +28,17 @@
 
 } // namespace
 
-Survivors::Survivors() : table_(std::make_unique<std::array<Place, places>>())
+CompletedRequests::CompletedRequests() : table_(std::make_unique<std::array<Place, places>>())
 {
 }
 
-void Survivors::add(const CallerRequest &request, std::string_view caller, SteadyTime now)
+void CompletedRequests::add(const CallerRequest &request, std::string_view caller, SteadyTime now)
 {
     const std::uint64_t key = keyOf(request, caller);
     table_->at(key % places) = { key, now };
 }
 
-bool Survivors::contains(const CallerRequest &request, std::string_view caller, SteadyTime now) const
+bool CompletedRequests::contains(const CallerRequest &request, std::string_view caller, SteadyTime now) const
 {
     const std::uint64_t key = keyOf(request, caller);
     const Place &place = table_->at(key % places);
--- a/src/portpaddle/crashes/survivors.h
+++ b/src/portpaddle/crashes/completed_requests.h
@@ -14,10 +14,10 @@
 namespace Portpaddle {
 
 /// Bounded and lossy: a later request may take the place of an earlier one. Belongs to one event loop.
-class Survivors
+class CompletedRequests
 {
 public:
-    Survivors();
+    CompletedRequests();
 
     /// An upstream ran @p request of @p caller whole.
     void add(const CallerRequest &request, std::string_view caller, SteadyTime now);
--- a/src/portpaddle/crashes/crash_guard.cpp
+++ b/src/portpaddle/crashes/crash_guard.cpp
@@ -38,17 +38,17 @@
     write_ = std::move(write);
 }
 
-void CrashGuard::survived(const CallerRequest &request, std::string_view caller, SteadyTime now)
+void CrashGuard::recordCompleted(const CallerRequest &request, std::string_view caller, SteadyTime now)
 {
-    survivors_.add(request, caller, now);
+    completedRequests_.add(request, caller, now);
 }
 
 // A connection that breaks says little: answers are lost, machines reset connections. An upstream whose process has ended refuses
 // the next one at once, while its record stands for seconds more.
-void CrashGuard::runBroke(const UpstreamRecord &upstream, const CallerRequest &request, std::string_view caller,
-                          const RequestFingerprint &fingerprint, SteadyTime now)
+void CrashGuard::recordBrokenRun(const UpstreamRecord &upstream, const CallerRequest &request, std::string_view caller,
+                                 const RequestFingerprint &fingerprint, SteadyTime now)
 {
-    if (survivors_.contains(request, caller, now)) {
+    if (completedRequests_.contains(request, caller, now)) {
         return;
     }
     const bool first = watch_.broke(upstream.id, fingerprint, now);
@@ -117,14 +117,14 @@
     news_.quarantined(request);
 }
 
-bool CrashGuard::holdsAny() const
+bool CrashGuard::hasQuarantined() const
 {
     return !quarantine_.empty();
 }
 
-bool CrashGuard::refuses(const RequestFingerprint &request, SteadyTime now)
+bool CrashGuard::isQuarantined(const RequestFingerprint &request, SteadyTime now)
 {
-    return quarantine_.refuses(request, now);
+    return quarantine_.isQuarantined(request, now);
 }
 
 void CrashGuard::setView(std::shared_ptr<const FleetView> view, SteadyTime now)
--- a/src/portpaddle/crashes/crash_guard.h
+++ b/src/portpaddle/crashes/crash_guard.h
@@ -4,11 +4,11 @@
 /// Notices upstreams that end while they run requests, and keeps requests that end them from being sent to any more.
 #pragma once
 
+#include "portpaddle/crashes/completed_requests.h"
 #include "portpaddle/crashes/crash_digests.h"
 #include "portpaddle/crashes/crash_ledger.h"
 #include "portpaddle/crashes/crash_watch.h"
 #include "portpaddle/crashes/quarantine.h"
-#include "portpaddle/crashes/survivors.h"
 #include "portpaddle/gateway/fleet_view.h"
 #include "portpaddle/gateway/upstream_connection.h"
 
@@ -34,16 +34,16 @@
     /// Without it holds are told to other daemons only.
     void setWriteRecord(WriteRecord write);
     /// An upstream ran @p request of @p caller whole.
-    void survived(const CallerRequest &request, std::string_view caller, SteadyTime now);
+    void recordCompleted(const CallerRequest &request, std::string_view caller, SteadyTime now);
     /// The connection of a run broke before the run had shown that it can be run.
-    void runBroke(const UpstreamRecord &upstream, const CallerRequest &request, std::string_view caller,
-                  const RequestFingerprint &fingerprint, SteadyTime now);
+    void recordBrokenRun(const UpstreamRecord &upstream, const CallerRequest &request, std::string_view caller,
+                         const RequestFingerprint &fingerprint, SteadyTime now);
     /// Nobody listens at the address of @p upstream, or it is listed no more.
     void upstreamEnded(const std::string &upstream, SteadyTime now);
     /// Whether any request is held at all.
-    bool holdsAny() const;
+    bool hasQuarantined() const;
     /// Whether @p request is not to be sent to upstreams any more.
-    bool refuses(const RequestFingerprint &request, SteadyTime now);
+    bool isQuarantined(const RequestFingerprint &request, SteadyTime now);
     /// Upstreams that are listed no more have ended; requests are held that the platform has.
     void setView(std::shared_ptr<const FleetView> view, SteadyTime now);
     void takeNews(const Wire::LoadDigestT &digest, SteadyTime now);
@@ -65,7 +65,7 @@
     std::string ownId_;
     WriteRecord write_;
     std::shared_ptr<const FleetView> view_;
-    Survivors survivors_;
+    CompletedRequests completedRequests_;
     CrashWatch watch_;
     CrashLedger ledger_;
     Quarantine quarantine_;
--- a/src/portpaddle/crashes/quarantine.cpp
+++ b/src/portpaddle/crashes/quarantine.cpp
@@ -36,7 +36,7 @@
     held_.erase(oldest);
 }
 
-void Quarantine::setStored(const HeldRequests &stored, SteadyTime now)
+void Quarantine::setStored(const QuarantinedRequests &stored, SteadyTime now)
 {
     std::erase_if(held_, [&stored](const auto &item) { return item.second.storedAt && !stored.contains(item.first); });
     for (const auto &[request, at] : stored) {
@@ -50,7 +50,7 @@
     return held_.empty();
 }
 
-bool Quarantine::refuses(const RequestFingerprint &request, SteadyTime now)
+bool Quarantine::isQuarantined(const RequestFingerprint &request, SteadyTime now)
 {
     const auto found = held_.find(request);
     if (found == held_.end()) {
--- a/src/portpaddle/crashes/quarantine.h
+++ b/src/portpaddle/crashes/quarantine.h
@@ -19,7 +19,7 @@
 inline constexpr std::size_t mostQuarantined = 512;
 
 /// Requests held on the platform, each with the time at which that was last written, as far as this daemon saw it.
-using HeldRequests = std::map<RequestFingerprint, SteadyTime>;
+using QuarantinedRequests = std::map<RequestFingerprint, SteadyTime>;
 
 /// Belongs to one event loop.
 class Quarantine
@@ -28,10 +28,10 @@
     /// Holds @p request from now on; false if it is held already.
     bool hold(const RequestFingerprint &request, SteadyTime now);
     /// What the platform has; what it had before and has not any more is let go.
-    void setStored(const HeldRequests &stored, SteadyTime now);
+    void setStored(const QuarantinedRequests &stored, SteadyTime now);
     bool empty() const;
     /// Whether @p request is held; notes that it came.
-    bool refuses(const RequestFingerprint &request, SteadyTime now);
+    bool isQuarantined(const RequestFingerprint &request, SteadyTime now);
     /// A request that is to be written to the platform, and since when.
     struct Unwritten
     {
--- a/src/portpaddle/gateway/exchange_attempt.cpp
+++ b/src/portpaddle/gateway/exchange_attempt.cpp
@@ -165,7 +165,7 @@
         gateway_.crashes_.upstreamEnded(target.upstream->id, now);
     }
     if (target.upstream && (report.end == AttemptEnd::Complete || report.failedAnswer)) {
-        gateway_.crashes_.survived(request_, callerName(), now);
+        gateway_.crashes_.recordCompleted(request_, callerName(), now);
     }
     if (target.upstream && report.connectionBroke) {
         noteBrokenRun(*target.upstream, now);
@@ -193,7 +193,7 @@
 void Exchange::noteBrokenRun(const UpstreamRecord &upstream, SteadyTime now)
 {
     if (!attemptBegan_ || now - *attemptBegan_ < longestDangerousStart) {
-        gateway_.crashes_.runBroke(upstream, request_, callerName(), fingerprint(), now);
+        gateway_.crashes_.recordBrokenRun(upstream, request_, callerName(), fingerprint(), now);
     }
 }
 
@@ -205,7 +205,7 @@
 bool Exchange::isHeld()
 {
     // The digest is made for requests only while any is held.
-    return gateway_.crashes_.holdsAny() && gateway_.crashes_.refuses(fingerprint(), BootClock::now());
+    return gateway_.crashes_.hasQuarantined() && gateway_.crashes_.isQuarantined(fingerprint(), BootClock::now());
 }
 
 const RequestFingerprint &Exchange::fingerprint()
--- a/src/portpaddle/gateway/fleet_registry.h
+++ b/src/portpaddle/gateway/fleet_registry.h
@@ -77,7 +77,7 @@
     std::map<std::string, Held<UpstreamRecord>> upstreams_;
     std::map<std::string, Held<DaemonRecord>> daemons_;
     std::set<std::string> evacuated_;
-    HeldRequests quarantined_;
+    QuarantinedRequests quarantined_;
     StoredLimits upstreamLimits_;
     bool storeReachable_ = false;
     bool everReachable_ = false;
--- a/src/portpaddle/gateway/fleet_view.h
+++ b/src/portpaddle/gateway/fleet_view.h
@@ -66,7 +66,7 @@
     std::set<std::string> evacuated;
     std::vector<DaemonRecord> daemons;
     /// Requests that are not to be sent to upstreams.
-    HeldRequests quarantined;
+    QuarantinedRequests quarantined;
     StoredLimits upstreamLimits;
     bool storeReachable = false;
 
--- a/src/portpaddle/gateway/gateway.cpp
+++ b/src/portpaddle/gateway/gateway.cpp
@@ -246,12 +246,12 @@
     }
 }
 
-void Gateway::setQuarantineRecord(CrashGuard::WriteRecord write)
+void Gateway::setQuarantineWriter(CrashGuard::WriteRecord write)
 {
     crashes_.setWriteRecord(std::move(write));
 }
 
-void Gateway::setLimitRecord(UpstreamLimits::WriteRecord write)
+void Gateway::setLimitWriter(UpstreamLimits::WriteRecord write)
 {
     upstreamLimits_.setWriteRecord(std::move(write));
 }
--- a/src/portpaddle/gateway/gateway.h
+++ b/src/portpaddle/gateway/gateway.h
@@ -90,9 +90,9 @@
     /// Without orders the memory of runs is not moved.
     void setOrders(const UpstreamOrders *orders);
     /// Keeps on the platform which requests are held; see CrashGuard.
-    void setQuarantineRecord(CrashGuard::WriteRecord write);
+    void setQuarantineWriter(CrashGuard::WriteRecord write);
     /// Has the limits that upstreams name written to the platform.
-    void setLimitRecord(UpstreamLimits::WriteRecord write);
+    void setLimitWriter(UpstreamLimits::WriteRecord write);
     /// What to tell other daemons of requests that upstreams ended under; call once in each interval.
     std::vector<OutgoingDigest> dueCrashDigests();
     /// The same of the limits that upstreams name.
--- a/tests/gateway/crash_guard_tests.cpp
+++ b/tests/gateway/crash_guard_tests.cpp
@@ -8,12 +8,12 @@
 #include "support/scripted_store.h"
 #include "support/scripted_upstream.h"
 
+#include "portpaddle/crashes/completed_requests.h"
 #include "portpaddle/crashes/crash_digests.h"
 #include "portpaddle/crashes/crash_ledger.h"
 #include "portpaddle/crashes/crash_watch.h"
 #include "portpaddle/crashes/quarantine.h"
 #include "portpaddle/crashes/quarantine_record.h"
-#include "portpaddle/crashes/survivors.h"
 #include "portpaddle/gateway/load_digest.h"
 
 #include <doctest/doctest.h>
@@ -169,9 +169,9 @@
     for (std::uint64_t index = 0; index < 2 * mostQuarantined; ++index) {
         const SteadyTime now = start + std::chrono::milliseconds(index);
         quarantine.hold({ 100 + index, 0 }, now);
-        CHECK(quarantine.refuses(bad, now));
+        CHECK(quarantine.isQuarantined(bad, now));
     }
-    CHECK_FALSE(quarantine.refuses({ 100, 0 }, start + 1h));
+    CHECK_FALSE(quarantine.isQuarantined({ 100, 0 }, start + 1h));
 }
 
 TEST_CASE("Quarantine, platform does not have it, is to be written; once it has, only when half of its time is over and it comes")
@@ -184,7 +184,7 @@
     CHECK(quarantine.unwritten(start + 6s).size() == 1);
     quarantine.setStored({ { bad, start + 1s } }, start + 1s);
     CHECK(quarantine.unwritten(start + 9min).empty());
-    CHECK(quarantine.refuses(bad, start + 9min));
+    CHECK(quarantine.isQuarantined(bad, start + 9min));
     CHECK(quarantine.unwritten(start + 9min).size() == 1);
 }
 
@@ -192,9 +192,9 @@
 {
     Quarantine quarantine;
     quarantine.setStored({ { bad, start } }, start);
-    CHECK(quarantine.refuses(bad, start));
+    CHECK(quarantine.isQuarantined(bad, start));
     quarantine.setStored({}, start + 1s);
-    CHECK_FALSE(quarantine.refuses(bad, start + 1s));
+    CHECK_FALSE(quarantine.isQuarantined(bad, start + 1s));
 }
 
 TEST_CASE("Quarantine, platform never took it and it comes no more, is over after ten minutes")
@@ -209,7 +209,7 @@
 
 TEST_CASE("Survivors, request served a moment ago, is known for two seconds")
 {
-    Survivors survivors;
+    CompletedRequests survivors;
     const CallerRequest request = requestWith("/a", "ping");
     survivors.add(request, "caller", start);
     CHECK(survivors.contains(request, "caller", start + 1s));
