--- a/src/portpaddle/gateway/exchange.cpp
+++ b/src/portpaddle/gateway/exchange.cpp
@@ -137,7 +137,7 @@
     while (interruption_ == Interruption::None && timeLeft() > shortestAttempt) {
         const Target target = chooseTarget();
         if (target.placement.verdict != Verdict::Serve && target.placement.verdict != Verdict::Forward) {
-            const LossReason reason = target.placement.reason;
+            const ExclusionReason reason = target.placement.reason;
             const bool mayWait = mayWaitForRoom(reason);
             const bool again = mayWait ? co_await waitForRoom() : false;
             if (again) {
@@ -168,18 +168,18 @@
 }
 
 /// What a request that could be sent nowhere is told.
-Error Exchange::noPlace(LossReason reason)
+Error Exchange::noPlace(ExclusionReason reason)
 {
-    const bool stopping = reason == LossReason::TooLate && overBy_ != SteadyTime::max();
+    const bool stopping = reason == ExclusionReason::TooLate && overBy_ != SteadyTime::max();
     if (stopping) {
         return Error{ ErrorCode::Stopping, "this daemon stops before the request would end", RunState::NotRun,
                       suggestedReturn() };
     }
     Error error{ ErrorCode::NoUpstream, fmt::format("no room: {}", nameOf(reason)), RunState::NotRun, {} };
-    if (reason == LossReason::UpstreamLimit) {
+    if (reason == ExclusionReason::UpstreamLimit) {
         gateway_.metrics_.count(Counter::HeldBackByLimit);
         error.retryAfter = std::min(heldBackReturn(), longestReturn);
-    } else if (reason == LossReason::BackingOff) {
+    } else if (reason == ExclusionReason::BackingOff) {
         error.retryAfter = heldBackReturn();
     }
     return error;
@@ -304,15 +304,15 @@
 
 /// Upstreams that name limits or ask for time say when there will be room, and of those that leave none comes: who would not get
 /// its turn in time is refused at once.
-bool Exchange::mayWaitForRoom(LossReason reason) const
+bool Exchange::mayWaitForRoom(ExclusionReason reason) const
 {
     if (progress_.begun || sends_ > 0 || request_.relayed) {
         return false;
     }
-    if (reason == LossReason::TooLate || reason == LossReason::Leaving) {
+    if (reason == ExclusionReason::TooLate || reason == ExclusionReason::Leaving) {
         return false;
     }
-    if (reason != LossReason::UpstreamLimit && reason != LossReason::BackingOff) {
+    if (reason != ExclusionReason::UpstreamLimit && reason != ExclusionReason::BackingOff) {
         return true;
     }
     const std::optional<SteadyTime::duration> room = gateway_.roomIn(service_, BootClock::now());
--- a/src/portpaddle/gateway/exchange.h
+++ b/src/portpaddle/gateway/exchange.h
@@ -55,7 +55,7 @@
     void startDeadline();
     /// Whether a stop that has begun leaves time for it; notes by when it has to be over.
     bool fitsStop();
-    Error noPlace(LossReason reason);
+    Error noPlace(ExclusionReason reason);
     /// When a request may come again that finds all upstreams held back.
     Millis heldBackReturn();
     /// The same after an attempt that was refused.
@@ -100,7 +100,7 @@
     /// No attempt followed that could have reached one.
     void refundRetry();
     /// Whether room may come in time where there is none for @p reason.
-    bool mayWaitForRoom(LossReason reason) const;
+    bool mayWaitForRoom(ExclusionReason reason) const;
     /// How long the request may still wait for room.
     Millis waitLeft() const;
     /// Waits a moment for room; false when the request has waited long enough.
--- a/src/portpaddle/gateway/exchange_attempt.cpp
+++ b/src/portpaddle/gateway/exchange_attempt.cpp
@@ -80,9 +80,9 @@
     events.maySend = [this, &target, goesOn] {
         const std::string &upstream = target.upstream->id;
         const SteadyTime now = BootClock::now();
-        const LossReason barred
-            = goesOn ? gateway_.notices_.barredForMovedRun(upstream, now) : gateway_.notices_.barred(upstream, now);
-        return barred == LossReason::None;
+        const ExclusionReason exclusionReason
+            = goesOn ? gateway_.notices_.exclusionForMovedRun(upstream, now) : gateway_.notices_.exclusionReason(upstream, now);
+        return exclusionReason == ExclusionReason::None;
     };
     events.sending = [this, &target, &ticket] {
         ++sends_;
--- a/src/portpaddle/gateway/fetch_offers.cpp
+++ b/src/portpaddle/gateway/fetch_offers.cpp
@@ -17,11 +17,11 @@
 /// An engine that is gone or tried in vain has nothing to give, and one in need is spared; a full one has.
 bool canGive(const UpstreamCandidate &upstream)
 {
-    switch (upstream.barred) {
-    case LossReason::Unhealthy:
-    case LossReason::Leaving:
-    case LossReason::BackingOff:
-    case LossReason::AlreadyTried:
+    switch (upstream.exclusionReason) {
+    case ExclusionReason::Unhealthy:
+    case ExclusionReason::Leaving:
+    case ExclusionReason::BackingOff:
+    case ExclusionReason::AlreadyTried:
         return false;
     default:
         return !upstream.limited;
--- a/src/portpaddle/gateway/gateway.cpp
+++ b/src/portpaddle/gateway/gateway.cpp
@@ -206,14 +206,14 @@
         return;
     }
     const SteadyTime now = BootClock::now();
-    upstreamLimits_.answered(*speaker, notice.limit, notice.own, sentAt, now);
+    upstreamLimits_.answered(*speaker, notice.limit, notice.fromUpstream, sentAt, now);
     notices_.answered(*speaker, notice, now);
 }
 
 void Gateway::answeredOrder(const UpstreamRecord &asked, const boost::beast::http::response_header<> &head)
 {
     AnswerNotice notice = readNotice(head, names_, std::chrono::system_clock::now());
-    notice.own = false;
+    notice.fromUpstream = false;
     answered(asked, notice, BootClock::now());
 }
 
--- a/src/portpaddle/gateway/gateway.h
+++ b/src/portpaddle/gateway/gateway.h
@@ -177,7 +177,7 @@
     void setLimits(SteadyTime now);
     /// Which daemons of the own region may own what cannot be divided among all of them.
     void chooseOwners(SteadyTime now);
-    LossReason bar(const UpstreamRecord &upstream, const ServiceSpec &spec, SteadyTime now);
+    ExclusionReason bar(const UpstreamRecord &upstream, const ServiceSpec &spec, SteadyTime now);
     /// The head of an answer came at the address of @p asked, to what was sent then.
     void answered(const UpstreamRecord &asked, const AnswerNotice &notice, SteadyTime sentAt);
     /// The same of an answer to an order, which tells nothing of requests.
--- a/src/portpaddle/gateway/gateway_choice.cpp
+++ b/src/portpaddle/gateway/gateway_choice.cpp
@@ -50,25 +50,25 @@
     return std::max<std::size_t>(fewestConnections, spec.connectionLimit / daemonsSharing());
 }
 
-LossReason Gateway::bar(const UpstreamRecord &upstream, const ServiceSpec &spec, SteadyTime now)
+ExclusionReason Gateway::bar(const UpstreamRecord &upstream, const ServiceSpec &spec, SteadyTime now)
 {
     if (!view_->takesRequests(upstream)) {
-        return LossReason::Leaving;
+        return ExclusionReason::Leaving;
     }
-    const LossReason told = notices_.barred(upstream.id, now);
-    if (told != LossReason::None) {
+    const ExclusionReason told = notices_.exclusionReason(upstream.id, now);
+    if (told != ExclusionReason::None) {
         return told;
     }
     if (pool_.idle(upstream.id) == 0 && pool_.open(upstream.id) >= connectionShare(spec)) {
-        return LossReason::Full;
+        return ExclusionReason::Full;
     }
     if (upstream.coldUntil > now && spec.coldPerSecond > 0) {
         const bool owner = owners_.owns(stableHash(upstream.id), now);
         if (!cold_.allows(upstream.id, spec.coldPerSecond, owner, now)) {
-            return LossReason::ShareSpent;
+            return ExclusionReason::ShareSpent;
         }
     }
-    return upstreamLimits_.allows(upstream.id, now) ? LossReason::None : LossReason::UpstreamLimit;
+    return upstreamLimits_.allows(upstream.id, now) ? ExclusionReason::None : ExclusionReason::UpstreamLimit;
 }
 
 Gateway::HeldBack Gateway::heldBackUpstreams(const std::string &service, SteadyTime now) const
@@ -79,10 +79,11 @@
         return upstreams;
     }
     for (const UpstreamRecord *upstream : local->second) {
-        const LossReason barred = view_->takesRequests(*upstream) ? notices_.barred(upstream->id, now) : LossReason::Leaving;
-        if (barred == LossReason::BackingOff) {
+        const ExclusionReason exclusionReason
+            = view_->takesRequests(*upstream) ? notices_.exclusionReason(upstream->id, now) : ExclusionReason::Leaving;
+        if (exclusionReason == ExclusionReason::BackingOff) {
             upstreams.askedForTime.push_back(&upstream->id);
-        } else if (barred == LossReason::None) {
+        } else if (exclusionReason == ExclusionReason::None) {
             upstreams.others.push_back(&upstream->id);
         }
     }
@@ -100,8 +101,8 @@
     const HeldBack upstreams = heldBackUpstreams(service, now);
     const auto waiting = waitingForTurn_.find(service);
     const std::size_t ahead = waiting == waitingForTurn_.end() ? 0 : waiting->second;
-    const std::optional<SteadyTime::duration> turn = upstreamLimits_.turn(upstreams.others, ahead, now);
-    const std::optional<SteadyTime::duration> back = notices_.soonestReturn(upstreams.askedForTime, now);
+    const std::optional<SteadyTime::duration> turn = upstreamLimits_.nextSendDelay(upstreams.others, ahead, now);
+    const std::optional<SteadyTime::duration> back = notices_.earliestBackoffEnd(upstreams.askedForTime, now);
     return turn && back ? std::min(turn, back) : turn ? turn : back;
 }
 
@@ -110,7 +111,7 @@
     const HeldBack upstreams = heldBackUpstreams(service, now);
     const SteadyTime::duration interval = upstreamLimits_.interval(upstreams.others, now).value_or(SteadyTime::duration::zero());
     const SteadyTime::duration room = roomIn(service, now).value_or(interval);
-    const bool timeAsked = notices_.soonestReturn(upstreams.askedForTime, now) == room;
+    const bool timeAsked = notices_.earliestBackoffEnd(upstreams.askedForTime, now) == room;
     const auto spread = random_.fraction() * (timeAsked ? returnSpread * room : 1.0 * interval);
     return room + std::chrono::duration_cast<SteadyTime::duration>(spread);
 }
@@ -131,11 +132,11 @@
         candidate.index = static_cast<std::uint32_t>(records.size());
         candidate.needsConnection = pool_.idle(id) == 0;
         candidate.limited = upstreamLimits_.isLimited(id, now);
-        const LossReason barred = bar(upstream, spec, now);
+        const ExclusionReason exclusionReason = bar(upstream, spec, now);
         if (std::find(tried.begin(), tried.end(), id) != tried.end()) {
-            candidate.barred = LossReason::AlreadyTried;
-        } else if (barred != LossReason::None) {
-            candidate.barred = barred;
+            candidate.exclusionReason = ExclusionReason::AlreadyTried;
+        } else if (exclusionReason != ExclusionReason::None) {
+            candidate.exclusionReason = exclusionReason;
         }
         records.push_back(&upstream);
         candidates.push_back(candidate);
@@ -150,7 +151,7 @@
 {
     std::vector<HomeCandidate> homes;
     for (UpstreamCandidate &upstream : upstreams) {
-        if (upstream.barred == LossReason::None && !upstream.limited) {
+        if (upstream.exclusionReason == ExclusionReason::None && !upstream.limited) {
             homes.push_back({ &upstream, upstreamKey(records[upstream.index]->id) });
         }
     }
@@ -223,10 +224,11 @@
     PlacementWeights weights = policy_.weights;
     weights.spreadMs *= regions_.daemonsInOwnRegion() - 1;
     target.placement = place(facts, upstreams, regions, weights, random_);
-    if (target.placement.verdict == Verdict::Refuse && target.placement.reason == LossReason::Unhealthy) {
+    if (target.placement.verdict == Verdict::Refuse && target.placement.reason == ExclusionReason::Unhealthy) {
         // All that is left looks ill: the best of them is still better than none.
         for (UpstreamCandidate &candidate : upstreams) {
-            candidate.barred = candidate.barred == LossReason::Unhealthy ? LossReason::None : candidate.barred;
+            candidate.exclusionReason
+                = candidate.exclusionReason == ExclusionReason::Unhealthy ? ExclusionReason::None : candidate.exclusionReason;
         }
         target.placement = place(facts, upstreams, regions, weights, random_);
     }
--- a/src/portpaddle/gateway/gateway_news.cpp
+++ b/src/portpaddle/gateway/gateway_news.cpp
@@ -112,7 +112,7 @@
             // What cold upstreams bear, and those with a limit take, goes to callers of the own region.
             const bool cold = policy_.coldAtHome && records[candidate.index]->coldUntil > now;
             const bool keptBack = cold || candidate.limited;
-            if (candidate.barred == LossReason::None && !keptBack) {
+            if (candidate.exclusionReason == ExclusionReason::None && !keptBack) {
                 summary.add(candidate);
             }
         }
--- a/src/portpaddle/gateway/placement.cpp
+++ b/src/portpaddle/gateway/placement.cpp
@@ -81,16 +81,16 @@
 
 /// How much a reason leaves to hope for: an upstream that leaves never returns, one that asked for time does so at a known
 /// moment, and most others may be ready at any.
-int hopeOf(LossReason reason)
+int hopeOf(ExclusionReason reason)
 {
     switch (reason) {
-    case LossReason::NoCapacity:
+    case ExclusionReason::NoCapacity:
         return 0;
-    case LossReason::Leaving:
+    case ExclusionReason::Leaving:
         return 1;
-    case LossReason::BackingOff:
+    case ExclusionReason::BackingOff:
         return 2;
-    case LossReason::UpstreamLimit:
+    case ExclusionReason::UpstreamLimit:
         return 3;
     default:
         return 4;
@@ -98,7 +98,7 @@
 }
 
 /// What to tell of two reasons.
-LossReason barredBy(LossReason before, LossReason reason)
+ExclusionReason barredBy(ExclusionReason before, ExclusionReason reason)
 {
     return hopeOf(reason) >= hopeOf(before) ? reason : before;
 }
@@ -184,16 +184,16 @@
                 std::span<const RegionCandidate> regions, const PlacementWeights &weights, RandomSource &random)
 {
     Best local;
-    LossReason barred = LossReason::NoCapacity;
+    ExclusionReason exclusionReason = ExclusionReason::NoCapacity;
     for (const UpstreamCandidate &candidate : upstreams) {
-        if (candidate.barred != LossReason::None) {
-            barred = barredBy(barred, candidate.barred);
+        if (candidate.exclusionReason != ExclusionReason::None) {
+            exclusionReason = barredBy(exclusionReason, candidate.exclusionReason);
             continue;
         }
         const double predicted = predictedFirstTokenMs(candidate, request);
         const double tokenMs = predictedTokenMs(candidate);
         if (isHopeless(request, predicted, tokenMs, weights)) {
-            barred = LossReason::TooLate;
+            exclusionReason = ExclusionReason::TooLate;
             continue;
         }
         const double msPerToken = candidate.slowness / candidate.tokensPerMs;
@@ -208,7 +208,7 @@
         const double ownReading = std::max(0.0, request.promptTokens - candidate.cachedTokens) / candidate.tokensPerMs;
         const double predicted = candidate.waitMs + candidate.distanceMs + ownReading + firstTokenMs;
         if (isHopeless(request, predicted, candidate.tokenMs, weights)) {
-            barred = LossReason::TooLate;
+            exclusionReason = ExclusionReason::TooLate;
             continue;
         }
         const double score = predicted + weights.awayMs
@@ -218,7 +218,7 @@
         consider(away, static_cast<std::size_t>(&candidate - regions.data()), score, predicted, random);
     }
     Placement placement;
-    placement.reason = barred;
+    placement.reason = exclusionReason;
     if (local.equals > 0 && (away.equals == 0 || local.score <= away.score)) {
         placement.verdict = Verdict::Serve;
         const UpstreamCandidate &chosen = upstreams[local.position];
--- a/src/portpaddle/gateway/placement.h
+++ b/src/portpaddle/gateway/placement.h
@@ -58,7 +58,7 @@
     /// It takes fewer requests for now than it could, whoever asks.
     bool limited = false;
     /// Nothing may be sent there now.
-    LossReason barred = LossReason::None;
+    ExclusionReason exclusionReason = ExclusionReason::None;
 };
 
 /// What another region told of a service.
@@ -148,7 +148,7 @@
     bool fetches = false;
     /// Late where the target is missed anyway, so that others still meet theirs.
     Urgency urgency = Urgency::Usual;
-    LossReason reason = LossReason::NoCapacity;
+    ExclusionReason reason = ExclusionReason::NoCapacity;
 };
 
 /// Tokens that @p candidate reads before those of a new request of @p urgency.
--- a/src/portpaddle/gateway/upstream_attempt.cpp
+++ b/src/portpaddle/gateway/upstream_attempt.cpp
@@ -221,7 +221,7 @@
     // Also what an upstream refuses tells of it.
     const AnswerNotice notice = readNotice(parser->get(), names_, std::chrono::system_clock::now());
     events.answered(notice);
-    const bool turnedAway = notice.backoff.word == RetryAfterWord::Named;
+    const bool turnedAway = notice.backoff.kind == RetryAfterKind::Named;
     AttemptReport report;
     if (notRun) {
         std::string dropped;
@@ -236,7 +236,7 @@
         // What an upstream asks of this daemon is not what the caller has to keep to.
         if (remote_ || status != HttpStatus::unavailable) {
             const RetryAfter after = readRetryAfter(fields, std::chrono::system_clock::now());
-            report.error.retryAfter = after.word == RetryAfterWord::Named ? std::optional(after.time) : std::nullopt;
+            report.error.retryAfter = after.kind == RetryAfterKind::Named ? std::optional(after.time) : std::nullopt;
         }
         co_return report;
     }
@@ -273,7 +273,7 @@
         }
         // A late answer to an earlier request of this connection: ours comes after it.
         AnswerNotice notice = readNotice(parser->get(), names_, std::chrono::system_clock::now());
-        notice.own = false;
+        notice.fromUpstream = false;
         events.answered(notice);
         std::string dropped;
         const bool whole = co_await readRest(*parser, dropped, error);
--- a/src/portpaddle/gateway/upstream_loads.cpp
+++ b/src/portpaddle/gateway/upstream_loads.cpp
@@ -406,7 +406,7 @@
     candidate.serviceMs = state.serviceMs > 0 ? state.serviceMs : assumedServiceMs;
     candidate.failureShare = decayedFailureShare(state, now);
     if (now < state.avoidUntil || isSilent(state, now)) {
-        candidate.barred = LossReason::Unhealthy;
+        candidate.exclusionReason = ExclusionReason::Unhealthy;
     }
     return candidate;
 }
--- a/src/portpaddle/routing/decision.cpp
+++ b/src/portpaddle/routing/decision.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr NameTable<Verdict, 4> verdictNames{ { "serve", "forward", "wait", "refuse" } };
-constexpr NameTable<LossReason, 18> lossReasonNames{ { "chosen", "leaving", "unhealthy", "version_absent", "already_tried",
-                                                       "full", "worse_score", "residency_forbids", "already_visited", "hop_limit",
-                                                       "unreachable", "no_capacity", "stale", "share_spent", "margin_not_reached",
-                                                       "too_late", "upstream_limit", "backing_off" } };
+constexpr NameTable<ExclusionReason, 18> lossReasonNames{ { "chosen", "leaving", "unhealthy", "version_absent", "already_tried",
+                                                            "full", "worse_score", "residency_forbids", "already_visited",
+                                                            "hop_limit", "unreachable", "no_capacity", "stale", "share_spent",
+                                                            "margin_not_reached", "too_late", "upstream_limit", "backing_off" } };
 
 /// Part of a prompt that the engine ranked first by rendezvous is expected to hold.
 constexpr double expectedPrefixHit = 0.9;
@@ -105,26 +105,26 @@
             CandidateOutcome outcome;
             outcome.index = candidate.upstream;
             outcome.reason = exclusionOf(candidate, view);
-            if (outcome.reason == LossReason::None) {
+            if (outcome.reason == ExclusionReason::None) {
                 scoreLocal(view, position, outcome);
             }
             keepBest(outcome, bestLocal_);
         }
     }
 
-    LossReason exclusionOf(const ServiceCandidate &candidate, const UpstreamView &view) const
+    ExclusionReason exclusionOf(const ServiceCandidate &candidate, const UpstreamView &view) const
     {
         if (view.leaving != LeavingSignal::None) {
-            return LossReason::Leaving;
+            return ExclusionReason::Leaving;
         }
         if (!view.healthy) {
-            return LossReason::Unhealthy;
+            return ExclusionReason::Unhealthy;
         }
         if (!policy_.version.empty() && candidate.version != policy_.version) {
-            return LossReason::VersionAbsent;
+            return ExclusionReason::VersionAbsent;
         }
         const bool tried = std::find(facts_.tried.begin(), facts_.tried.end(), view.id) != facts_.tried.end();
-        return tried ? LossReason::AlreadyTried : LossReason::None;
+        return tried ? ExclusionReason::AlreadyTried : ExclusionReason::None;
     }
 
     void scoreLocal(const UpstreamView &view, std::size_t position, CandidateOutcome &outcome)
@@ -143,7 +143,7 @@
         outcome.score = static_cast<float>(latencyWeight() * (wait + cold + batch) + policy_.costWeight * cold);
         shortestWait_ = std::min(shortestWait_, wait);
         if (busy + 1 > usable + slots * engineQueueAllowance || !withinLocalShare(usable - view.load.running - queued, own)) {
-            outcome.reason = LossReason::Full;
+            outcome.reason = ExclusionReason::Full;
             fullScore_ = std::min(fullScore_, static_cast<double>(outcome.score));
         }
     }
@@ -156,36 +156,36 @@
             outcome.index = static_cast<std::uint32_t>(position);
             outcome.remote = true;
             outcome.reason = exclusionOf(view);
-            if (outcome.reason == LossReason::None) {
+            if (outcome.reason == ExclusionReason::None) {
                 scoreRemote(view, outcome);
             }
             keepBest(outcome, bestRemote_);
         }
     }
 
-    LossReason exclusionOf(const RemoteView &view) const
+    ExclusionReason exclusionOf(const RemoteView &view) const
     {
         if (!policy_.allowsRegion(view.region)) {
-            return LossReason::ResidencyForbids;
+            return ExclusionReason::ResidencyForbids;
         }
         if (std::find(facts_.visited.begin(), facts_.visited.end(), view.dataCentre) != facts_.visited.end()) {
-            return LossReason::AlreadyVisited;
+            return ExclusionReason::AlreadyVisited;
         }
         if (facts_.visited.size() >= policy_.hopLimit) {
-            return LossReason::HopLimit;
+            return ExclusionReason::HopLimit;
         }
         if (!view.reachable) {
-            return LossReason::Unreachable;
+            return ExclusionReason::Unreachable;
         }
         if (now_ - view.observedAt > oldestSummary) {
-            return LossReason::Stale;
+            return ExclusionReason::Stale;
         }
         const bool hasVersion = policy_.version.empty()
             || std::find(view.versions.begin(), view.versions.end(), policy_.version) != view.versions.end();
         if (!hasVersion) {
-            return LossReason::VersionAbsent;
+            return ExclusionReason::VersionAbsent;
         }
-        return view.capacity == 0 ? LossReason::NoCapacity : LossReason::None;
+        return view.capacity == 0 ? ExclusionReason::NoCapacity : ExclusionReason::None;
     }
 
     void scoreRemote(const RemoteView &view, CandidateOutcome &outcome)
@@ -203,7 +203,7 @@
         outcome.prefillMs = static_cast<float>(cold);
         outcome.score = static_cast<float>(latencyWeight() * (wait + link + cold + batch) + policy_.costWeight * cold + away);
         if (!withinShare(view, capacity - view.busy - view.queued, own)) {
-            outcome.reason = LossReason::ShareSpent;
+            outcome.reason = ExclusionReason::ShareSpent;
             // The next summary brings a new share: waiting for it here beats a refusal.
             shortestWait_ = std::min(shortestWait_, wait);
         }
@@ -248,7 +248,7 @@
     void keepBest(const CandidateOutcome &outcome, std::optional<std::size_t> &best)
     {
         decision_.candidates.push_back(outcome);
-        if (outcome.reason != LossReason::None) {
+        if (outcome.reason != ExclusionReason::None) {
             return;
         }
         const std::size_t mine = decision_.candidates.size() - 1;
@@ -259,22 +259,22 @@
         CandidateOutcome &previous = decision_.candidates[*best];
         const bool better = outcome.score < previous.score || (outcome.score == previous.score && random_.below(2) == 0);
         if (better) {
-            previous.reason = LossReason::WorseScore;
+            previous.reason = ExclusionReason::WorseScore;
             best = mine;
         } else {
-            decision_.candidates[mine].reason = LossReason::WorseScore;
+            decision_.candidates[mine].reason = ExclusionReason::WorseScore;
         }
     }
 
     Decision conclude()
     {
         if (bestRemote_ && !remoteWins()) {
-            decision_.candidates[*bestRemote_].reason = LossReason::MarginNotReached;
+            decision_.candidates[*bestRemote_].reason = ExclusionReason::MarginNotReached;
             bestRemote_.reset();
         }
         if (bestRemote_) {
             if (bestLocal_) {
-                decision_.candidates[*bestLocal_].reason = LossReason::WorseScore;
+                decision_.candidates[*bestLocal_].reason = ExclusionReason::WorseScore;
             }
             return choose(Verdict::Forward, *bestRemote_);
         }
@@ -327,7 +327,7 @@
     {
         const bool onlyResidency = routes_.local.empty() && !routes_.remote.empty()
             && std::all_of(decision_.candidates.begin(), decision_.candidates.end(),
-                           [](const CandidateOutcome &outcome) { return outcome.reason == LossReason::ResidencyForbids; });
+                           [](const CandidateOutcome &outcome) { return outcome.reason == ExclusionReason::ResidencyForbids; });
         return onlyResidency ? ErrorCode::ResidencyForbids : ErrorCode::NoUpstream;
     }
 
@@ -393,23 +393,23 @@
     return verdictNames[verdict];
 }
 
-std::string_view nameOf(LossReason reason)
+std::string_view nameOf(ExclusionReason reason)
 {
     return lossReasonNames[reason];
 }
 
-std::string_view settingBehind(LossReason reason)
+std::string_view settingBehind(ExclusionReason reason)
 {
     switch (reason) {
-    case LossReason::ResidencyForbids:
+    case ExclusionReason::ResidencyForbids:
         return "residency";
-    case LossReason::VersionAbsent:
+    case ExclusionReason::VersionAbsent:
         return "version";
-    case LossReason::HopLimit:
+    case ExclusionReason::HopLimit:
         return "hop_limit";
-    case LossReason::MarginNotReached:
+    case ExclusionReason::MarginNotReached:
         return "away_margin_ms";
-    case LossReason::WorseScore:
+    case ExclusionReason::WorseScore:
         return "latency_weight";
     default:
         return {};
--- a/src/portpaddle/routing/decision.h
+++ b/src/portpaddle/routing/decision.h
@@ -49,7 +49,7 @@
 enum class Verdict { Serve, Forward, Wait, Refuse };
 
 /// Why a candidate was not chosen; None is the chosen one.
-enum class LossReason {
+enum class ExclusionReason {
     None,
     Leaving,
     Unhealthy,
@@ -71,9 +71,9 @@
 };
 
 std::string_view nameOf(Verdict verdict);
-std::string_view nameOf(LossReason reason);
+std::string_view nameOf(ExclusionReason reason);
 /// The settings key that produced @p reason; empty when state, not a setting, did.
-std::string_view settingBehind(LossReason reason);
+std::string_view settingBehind(ExclusionReason reason);
 
 /// How one candidate fared. Times are predictions in milliseconds.
 struct CandidateOutcome
@@ -81,7 +81,7 @@
     /// Position among the snapshot's upstreams, or among the service's remote views.
     std::uint32_t index = 0;
     bool remote = false;
-    LossReason reason = LossReason::None;
+    ExclusionReason reason = ExclusionReason::None;
     float waitMs = 0;
     float prefillMs = 0;
     float score = 0;
--- a/src/portpaddle/upstream_limits/limit_reading.cpp
+++ b/src/portpaddle/upstream_limits/limit_reading.cpp
@@ -40,9 +40,9 @@
     for (auto field = first; field != last; ++field) {
         const double rate = parseRate(viewOf(field->value()));
         if (std::isnan(rate)) {
-            reading.word = reading.word == LimitWord::Absent ? LimitWord::Unreadable : reading.word;
-        } else if (reading.word != LimitWord::Named || rate < reading.perSecond) {
-            reading = { LimitWord::Named, rate };
+            reading.word = reading.word == LimitKind::Absent ? LimitKind::Unreadable : reading.word;
+        } else if (reading.word != LimitKind::Named || rate < reading.perSecond) {
+            reading = { LimitKind::Named, rate };
         }
     }
     return reading;
--- a/src/portpaddle/upstream_limits/limit_reading.h
+++ b/src/portpaddle/upstream_limits/limit_reading.h
@@ -17,11 +17,11 @@
 inline constexpr double mostNamedRate = 1e6;
 
 /// What the head of an answer says.
-enum class LimitWord { Absent, Named, Unreadable };
+enum class LimitKind { Absent, Named, Unreadable };
 
 struct LimitReading
 {
-    LimitWord word = LimitWord::Absent;
+    LimitKind word = LimitKind::Absent;
     /// Requests a second from all daemons together; set where a limit is named.
     double perSecond = 0;
 };
--- a/src/portpaddle/upstream_limits/upstream_limits.cpp
+++ b/src/portpaddle/upstream_limits/upstream_limits.cpp
@@ -120,13 +120,13 @@
     }
     LimitChange change = LimitChange::None;
     switch (reading.word) {
-    case LimitWord::Named:
+    case LimitKind::Named:
         change = book_.named(key, reading.perSecond, now);
         break;
-    case LimitWord::Absent:
+    case LimitKind::Absent:
         change = own ? book_.answeredWithout(key, sentAt, now) : LimitChange::None;
         break;
-    case LimitWord::Unreadable: {
+    case LimitKind::Unreadable: {
         metrics_.count(Counter::LimitsUnreadable);
         const auto [last, first] = unreadableAt_.try_emplace(key, now);
         if (first || now - last->second >= betweenUnreadableLines) {
@@ -202,8 +202,8 @@
     }
 }
 
-std::optional<SteadyTime::duration> UpstreamLimits::turn(std::span<const std::string *const> upstreams, std::size_t ahead,
-                                                         SteadyTime now)
+std::optional<SteadyTime::duration> UpstreamLimits::nextSendDelay(std::span<const std::string *const> upstreams,
+                                                                  std::size_t ahead, SteadyTime now)
 {
     double perSecond = 0;
     SteadyTime::duration soonest = SteadyTime::duration::max();
--- a/src/portpaddle/upstream_limits/upstream_limits.h
+++ b/src/portpaddle/upstream_limits/upstream_limits.h
@@ -56,7 +56,8 @@
     /// One request goes to @p upstream.
     void take(const std::string &upstream, SteadyTime now);
     /// When this daemon may send to one of @p upstreams with @p ahead requests before it; none where it holds no share of any.
-    std::optional<SteadyTime::duration> turn(std::span<const std::string *const> upstreams, std::size_t ahead, SteadyTime now);
+    std::optional<SteadyTime::duration> nextSendDelay(std::span<const std::string *const> upstreams, std::size_t ahead,
+                                                      SteadyTime now);
     /// How long it takes on average until one of @p upstreams takes a request of any daemon.
     std::optional<SteadyTime::duration> interval(std::span<const std::string *const> upstreams, SteadyTime now) const;
     void takeNews(const Wire::LoadDigestT &digest, SteadyTime now);
--- a/src/portpaddle/upstream_notices/answer_notice.cpp
+++ b/src/portpaddle/upstream_notices/answer_notice.cpp
@@ -12,15 +12,15 @@
 
 constexpr std::string_view leaves = "1";
 
-LeavingWord readLeaving(const boost::beast::http::fields &head, const std::string &name)
+LeavingNotice readLeaving(const boost::beast::http::fields &head, const std::string &name)
 {
-    LeavingWord word = LeavingWord::Absent;
+    LeavingNotice word = LeavingNotice::Absent;
     const auto [first, last] = head.equal_range(name);
     for (auto field = first; field != last; ++field) {
         if (viewOf(field->value()) == leaves) {
-            return LeavingWord::Leaving;
+            return LeavingNotice::Leaving;
         }
-        word = LeavingWord::Unreadable;
+        word = LeavingNotice::Unreadable;
     }
     return word;
 }
@@ -42,7 +42,7 @@
 {
     AnswerNotice notice;
     notice.incarnation = std::string(viewOf(head[names.answeringUpstream]));
-    notice.own = !provesNotRun(head, names) && isSigned(head, names);
+    notice.fromUpstream = !provesNotRun(head, names) && isSigned(head, names);
     notice.limit = readLimit(head, names.upstreamLimit);
     notice.leaving = readLeaving(head, names.upstreamLeaving);
     if (head.result_int() == HttpStatus::unavailable) {
--- a/src/portpaddle/upstream_notices/answer_notice.h
+++ b/src/portpaddle/upstream_notices/answer_notice.h
@@ -16,16 +16,16 @@
 namespace Portpaddle {
 
 /// Whether an upstream says that it leaves.
-enum class LeavingWord { Absent, Leaving, Unreadable };
+enum class LeavingNotice { Absent, Leaving, Unreadable };
 
 struct AnswerNotice
 {
     /// The name of the life that answers; empty where the head does not tell.
     std::string incarnation;
     /// It proves that the upstream itself gave the answer after it ran the request.
-    bool own = false;
+    bool fromUpstream = false;
     LimitReading limit;
-    LeavingWord leaving = LeavingWord::Absent;
+    LeavingNotice leaving = LeavingNotice::Absent;
     /// For how long the upstream wants nothing from this daemon.
     RetryAfter backoff;
 };
--- a/src/portpaddle/upstream_notices/retry_after.cpp
+++ b/src/portpaddle/upstream_notices/retry_after.cpp
@@ -65,9 +65,9 @@
             time = time ? time : parseDate(text, wall);
         }
         if (time) {
-            result = { RetryAfterWord::Named, std::max(result.time, *time) };
-        } else if (result.word == RetryAfterWord::Absent) {
-            result.word = RetryAfterWord::Unreadable;
+            result = { RetryAfterKind::Named, std::max(result.time, *time) };
+        } else if (result.kind == RetryAfterKind::Absent) {
+            result.kind = RetryAfterKind::Unreadable;
         }
     }
     return result;
--- a/src/portpaddle/upstream_notices/retry_after.h
+++ b/src/portpaddle/upstream_notices/retry_after.h
@@ -14,11 +14,11 @@
 inline constexpr std::chrono::milliseconds longestRetryAfter = std::chrono::hours(24);
 
 /// What the head of an answer says.
-enum class RetryAfterWord { Absent, Named, Unreadable };
+enum class RetryAfterKind { Absent, Named, Unreadable };
 
 struct RetryAfter
 {
-    RetryAfterWord word = RetryAfterWord::Absent;
+    RetryAfterKind kind = RetryAfterKind::Absent;
     /// From the arrival of the answer; set where a time is named.
     std::chrono::milliseconds time{ 0 };
 };
--- a/src/portpaddle/upstream_notices/upstream_notices.cpp
+++ b/src/portpaddle/upstream_notices/upstream_notices.cpp
@@ -65,14 +65,14 @@
 
 void UpstreamNotices::answered(const std::string &upstream, const AnswerNotice &notice, SteadyTime now)
 {
-    if (notice.leaving == LeavingWord::Leaving) {
+    if (notice.leaving == LeavingNotice::Leaving) {
         noteLeaving(upstream, now);
-    } else if (notice.leaving == LeavingWord::Unreadable) {
+    } else if (notice.leaving == LeavingNotice::Unreadable) {
         noteUnreadable(upstream, "leaving", now);
     }
-    if (notice.backoff.word == RetryAfterWord::Named) {
+    if (notice.backoff.kind == RetryAfterKind::Named) {
         noteBackoff(upstream, notice.backoff.time, now);
-    } else if (notice.backoff.word == RetryAfterWord::Unreadable) {
+    } else if (notice.backoff.kind == RetryAfterKind::Unreadable) {
         noteUnreadable(upstream, "backoff", now);
     }
 }
@@ -118,41 +118,41 @@
 
 void UpstreamNotices::sent(const std::string &upstream, SteadyTime now)
 {
-    if (barred(upstream, now) != LossReason::None) {
+    if (exclusionReason(upstream, now) != ExclusionReason::None) {
         metrics_.count(Counter::SentPastNotice);
     }
 }
 
-LossReason UpstreamNotices::barred(const std::string &upstream, SteadyTime now) const
+ExclusionReason UpstreamNotices::exclusionReason(const std::string &upstream, SteadyTime now) const
 {
     const auto found = states_.find(upstream);
     if (found == states_.end()) {
-        return LossReason::None;
+        return ExclusionReason::None;
     }
     if (found->second.stage != Stage::Serving) {
-        return LossReason::Leaving;
+        return ExclusionReason::Leaving;
     }
-    return found->second.backoffUntil > now ? LossReason::BackingOff : LossReason::None;
+    return found->second.backoffUntil > now ? ExclusionReason::BackingOff : ExclusionReason::None;
 }
 
-LossReason UpstreamNotices::barredForMovedRun(const std::string &upstream, SteadyTime now) const
+ExclusionReason UpstreamNotices::exclusionForMovedRun(const std::string &upstream, SteadyTime now) const
 {
     const auto found = states_.find(upstream);
     if (found == states_.end()) {
-        return LossReason::None;
+        return ExclusionReason::None;
     }
     if (found->second.stage == Stage::Over) {
-        return LossReason::Leaving;
+        return ExclusionReason::Leaving;
     }
-    return found->second.backoffUntil > now ? LossReason::BackingOff : LossReason::None;
+    return found->second.backoffUntil > now ? ExclusionReason::BackingOff : ExclusionReason::None;
 }
 
-std::optional<SteadyTime::duration> UpstreamNotices::soonestReturn(std::span<const std::string *const> upstreams,
-                                                                   SteadyTime now) const
+std::optional<SteadyTime::duration> UpstreamNotices::earliestBackoffEnd(std::span<const std::string *const> upstreams,
+                                                                        SteadyTime now) const
 {
     std::optional<SteadyTime::duration> soonest;
     for (const std::string *upstream : upstreams) {
-        if (barred(*upstream, now) == LossReason::BackingOff) {
+        if (exclusionReason(*upstream, now) == ExclusionReason::BackingOff) {
             const SteadyTime::duration left = states_.at(*upstream).backoffUntil - now;
             soonest = soonest ? std::min(*soonest, left) : left;
         }
--- a/src/portpaddle/upstream_notices/upstream_notices.h
+++ b/src/portpaddle/upstream_notices/upstream_notices.h
@@ -36,11 +36,11 @@
     /// A request leaves for @p upstream.
     void sent(const std::string &upstream, SteadyTime now);
     /// Why no new request may be sent to @p upstream now; none where it may.
-    LossReason barred(const std::string &upstream, SteadyTime now) const;
+    ExclusionReason exclusionReason(const std::string &upstream, SteadyTime now) const;
     /// The same of a run whose memory is kept there: it may go on while the upstream leaves.
-    LossReason barredForMovedRun(const std::string &upstream, SteadyTime now) const;
+    ExclusionReason exclusionForMovedRun(const std::string &upstream, SteadyTime now) const;
     /// When the first of @p upstreams that asked for time may be asked again; none where no time is what bars them.
-    std::optional<SteadyTime::duration> soonestReturn(std::span<const std::string *const> upstreams, SteadyTime now) const;
+    std::optional<SteadyTime::duration> earliestBackoffEnd(std::span<const std::string *const> upstreams, SteadyTime now) const;
     /// Lives of which something is remembered.
     std::size_t remembered() const;
 
--- a/tests/gateway/limit_table_tests.cpp
+++ b/tests/gateway/limit_table_tests.cpp
@@ -51,7 +51,7 @@
 
 TEST_CASE("Limit reading, decimal numbers, are rates")
 {
-    CHECK(read({}).word == LimitWord::Absent);
+    CHECK(read({}).word == LimitKind::Absent);
     CHECK(read({ "2.5" }).perSecond == 2.5);
     CHECK(read({ "40" }).perSecond == 40);
     // One that takes nothing must be able to say that it takes something again.
@@ -64,7 +64,7 @@
     for (const char *text : { "", "-1", "nan", "inf", "-inf", "many", "2 a second", "2,5", "0x10",
                               "1.00000000000000000000000000000000000001", "1e999" }) {
         CAPTURE(text);
-        CHECK(read({ text }).word == LimitWord::Unreadable);
+        CHECK(read({ text }).word == LimitKind::Unreadable);
     }
 }
 
@@ -79,7 +79,7 @@
 {
     rc::check([](const std::string &text) {
         const LimitReading reading = read({ text.c_str() });
-        RC_ASSERT(reading.word != LimitWord::Named
+        RC_ASSERT(reading.word != LimitKind::Named
                   || (reading.perSecond >= leastNamedRate && reading.perSecond <= mostNamedRate));
     });
 }
--- a/tests/gateway/notice_book_tests.cpp
+++ b/tests/gateway/notice_book_tests.cpp
@@ -20,20 +20,20 @@
     void leaves(const std::string &upstream)
     {
         AnswerNotice notice;
-        notice.leaving = LeavingWord::Leaving;
+        notice.leaving = LeavingNotice::Leaving;
         notices.answered(upstream, notice, now);
     }
 
     void asks(const std::string &upstream, std::chrono::milliseconds time)
     {
         AnswerNotice notice;
-        notice.backoff = { RetryAfterWord::Named, time };
+        notice.backoff = { RetryAfterKind::Named, time };
         notices.answered(upstream, notice, now);
     }
 
-    LossReason barred(const std::string &upstream) const
+    ExclusionReason exclusionReason(const std::string &upstream) const
     {
-        return notices.barred(upstream, now);
+        return notices.exclusionReason(upstream, now);
     }
 
     void list(const std::vector<std::string> &upstreams)
@@ -62,18 +62,18 @@
 TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, life that is over, takes nothing any more")
 {
     notices.incarnationEnded("e", now);
-    CHECK(barred("e") == LossReason::Leaving);
+    CHECK(exclusionReason("e") == ExclusionReason::Leaving);
     leaves("e");
-    CHECK(notices.barredForMovedRun("e", now) == LossReason::Leaving);
+    CHECK(notices.exclusionForMovedRun("e", now) == ExclusionReason::Leaving);
 }
 
 TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, run whose memory lies at an upstream that leaves, may go on there")
 {
     leaves("e");
-    CHECK(barred("e") == LossReason::Leaving);
-    CHECK(notices.barredForMovedRun("e", now) == LossReason::None);
+    CHECK(exclusionReason("e") == ExclusionReason::Leaving);
+    CHECK(notices.exclusionForMovedRun("e", now) == ExclusionReason::None);
     asks("e", 1s);
-    CHECK(notices.barredForMovedRun("e", now) == LossReason::BackingOff);
+    CHECK(notices.exclusionForMovedRun("e", now) == ExclusionReason::BackingOff);
 }
 
 TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, shorter time after a longer one, ends with the longer one")
@@ -83,9 +83,9 @@
     asks("e", 500ms);
     asks("e", 0ms);
     now += 1900ms;
-    CHECK(barred("e") == LossReason::BackingOff);
+    CHECK(exclusionReason("e") == ExclusionReason::BackingOff);
     now += 100ms;
-    CHECK(barred("e") == LossReason::None);
+    CHECK(exclusionReason("e") == ExclusionReason::None);
 }
 
 TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, several upstreams that asked for time, tell the first that may be asked")
@@ -96,7 +96,7 @@
     leaves("b");
     asks("c", 5s);
     const std::vector<const std::string *> asked{ &ids[0], &ids[1], &ids[2] };
-    CHECK(notices.soonestReturn(asked, now) == 3s);
+    CHECK(notices.earliestBackoffEnd(asked, now) == 3s);
 }
 
 TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, more lives than there is room for, forget those that are longest out of the view")
@@ -108,9 +108,9 @@
     }
     list({ "listed" });
     CHECK(notices.remembered() == maxUnlistedIncarnations + 1);
-    CHECK(barred("listed") == LossReason::Leaving);
-    CHECK(barred("e0") == LossReason::None);
-    CHECK(barred("e" + std::to_string(maxUnlistedIncarnations + 499)) == LossReason::Leaving);
+    CHECK(exclusionReason("listed") == ExclusionReason::Leaving);
+    CHECK(exclusionReason("e0") == ExclusionReason::None);
+    CHECK(exclusionReason("e" + std::to_string(maxUnlistedIncarnations + 499)) == ExclusionReason::Leaving);
 }
 
 TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, time that is over for a life out of the view, are forgotten")
@@ -141,9 +141,9 @@
 {
     for (const char *value : { "", "-1", "-0.5", "nan", "inf", "-inf", "soon", "3 s", "0x3", "1e3", "--1", "Sun, 06 Nov 1994" }) {
         CAPTURE(value);
-        CHECK(read(value).word == RetryAfterWord::Unreadable);
+        CHECK(read(value).kind == RetryAfterKind::Unreadable);
     }
-    CHECK(readRetryAfter({}, {}).word == RetryAfterWord::Absent);
+    CHECK(readRetryAfter({}, {}).kind == RetryAfterKind::Absent);
 }
 
 TEST_CASE("Retry-After, any bytes, is a time within its bounds or none")
--- a/tests/gateway/placement_tests.cpp
+++ b/tests/gateway/placement_tests.cpp
@@ -112,10 +112,10 @@
 TEST_CASE_FIXTURE(PlacementFixture, "Placement, all barred, refuses with the reason")
 {
     for (UpstreamCandidate &engine : engines) {
-        engine.barred = LossReason::ShareSpent;
+        engine.exclusionReason = ExclusionReason::ShareSpent;
     }
     CHECK(placed().verdict == Verdict::Refuse);
-    CHECK(placed().reason == LossReason::ShareSpent);
+    CHECK(placed().reason == ExclusionReason::ShareSpent);
 }
 
 TEST_CASE_FIXTURE(PlacementFixture, "Placement, first token later than its caller waits, refuses")
@@ -125,7 +125,7 @@
     }
     request.firstTokenBoundMs = 4'000;
     CHECK(placed().verdict == Verdict::Refuse);
-    CHECK(placed().reason == LossReason::TooLate);
+    CHECK(placed().reason == ExclusionReason::TooLate);
     request.firstTokenBoundMs = 40'000;
     CHECK(placed().verdict == Verdict::Serve);
 }
@@ -148,7 +148,7 @@
     request.wholeBoundMs = 12'000;
     CHECK(placed().index == 1);
     engines[1].tokenMs = 46;
-    CHECK(placed().reason == LossReason::TooLate);
+    CHECK(placed().reason == ExclusionReason::TooLate);
 }
 
 TEST_CASE_FIXTURE(PlacementFixture,
@@ -191,7 +191,7 @@
     CHECK(engines[1].fetchMs == doctest::Approx(10));
     CHECK(engines[2].fetchableTokens == 0);
     // An engine that is gone has nothing to give.
-    engines[0].barred = LossReason::Leaving;
+    engines[0].exclusionReason = ExclusionReason::Leaving;
     CHECK(offerFetching(spec, engines, views).empty());
 }
 
@@ -395,10 +395,10 @@
     const ServiceSpec spec;
     const PromptFacts prompt = promptOf(100, 100, 1);
     loads.sent(engine, spec, prompt, Placement{}, now);
-    CHECK(loads.describe(engine, spec, prompt, now + 500ms).barred == LossReason::None);
-    CHECK(loads.describe(engine, spec, prompt, now + 700ms).barred == LossReason::Unhealthy);
+    CHECK(loads.describe(engine, spec, prompt, now + 500ms).exclusionReason == ExclusionReason::None);
+    CHECK(loads.describe(engine, spec, prompt, now + 700ms).exclusionReason == ExclusionReason::Unhealthy);
     loads.heard("e", now + 800ms);
-    CHECK(loads.describe(engine, spec, prompt, now + 900ms).barred == LossReason::None);
+    CHECK(loads.describe(engine, spec, prompt, now + 900ms).exclusionReason == ExclusionReason::None);
 }
 
 TEST_CASE("Loads, failures in a row, keep new requests away for a while")
@@ -408,10 +408,10 @@
     engine.id = "e";
     const ServiceSpec spec;
     loads.connectFailed("e", now);
-    CHECK(loads.describe(engine, spec, {}, now + 10ms).barred == LossReason::None);
+    CHECK(loads.describe(engine, spec, {}, now + 10ms).exclusionReason == ExclusionReason::None);
     loads.connectFailed("e", now);
-    CHECK(loads.describe(engine, spec, {}, now + 10ms).barred == LossReason::Unhealthy);
-    CHECK(loads.describe(engine, spec, {}, now + 5s).barred == LossReason::None);
+    CHECK(loads.describe(engine, spec, {}, now + 10ms).exclusionReason == ExclusionReason::Unhealthy);
+    CHECK(loads.describe(engine, spec, {}, now + 5s).exclusionReason == ExclusionReason::None);
 }
 
 TEST_CASE("Loads, failure share, fades where nothing more is sent there")
--- a/tests/gateway/upstream_attempt_tests.cpp
+++ b/tests/gateway/upstream_attempt_tests.cpp
@@ -104,10 +104,10 @@
     const AttemptReport report = send(upstream);
     CHECK(report.end == AttemptEnd::Complete);
     REQUIRE(notices.size() == 2);
-    CHECK(notices[0].leaving == LeavingWord::Leaving);
-    CHECK_FALSE(notices[0].own);
-    CHECK(notices[1].leaving == LeavingWord::Absent);
-    CHECK(notices[1].own);
+    CHECK(notices[0].leaving == LeavingNotice::Leaving);
+    CHECK_FALSE(notices[0].fromUpstream);
+    CHECK(notices[1].leaving == LeavingNotice::Absent);
+    CHECK(notices[1].fromUpstream);
 }
 
 TEST_CASE_FIXTURE(AttemptFixture, "Attempt, refusal that asks for time, is no word to the caller and none against the upstream")
--- a/tests/gateway/upstream_lives_tests.cpp
+++ b/tests/gateway/upstream_lives_tests.cpp
@@ -129,10 +129,10 @@
     for (int failure = 0; failure < 5; ++failure) {
         loads.connectFailed(find("i-1")->id, now);
     }
-    CHECK(loads.describe(*find("i-1"), spec, {}, now).barred != LossReason::None);
+    CHECK(loads.describe(*find("i-1"), spec, {}, now).exclusionReason != ExclusionReason::None);
     put("i-1", recordOfLife(2000));
     loads.keepOnly(*cell.read());
-    CHECK(loads.describe(*find("i-1"), spec, {}, now).barred == LossReason::None);
+    CHECK(loads.describe(*find("i-1"), spec, {}, now).exclusionReason == ExclusionReason::None);
 }
 
 TEST_CASE_FIXTURE(StoreFixture, "Damaged record, in place of a good one, takes the upstream out until it is good again")
--- a/tests/introspective/decision_tests.cpp
+++ b/tests/introspective/decision_tests.cpp
@@ -83,7 +83,7 @@
         return decide(snapshot, facts, OwnDispatches{ ownLocal, ownRemote }, now, random);
     }
 
-    LossReason reasonOf(const Decision &decision, std::uint32_t index, bool remote)
+    ExclusionReason reasonOf(const Decision &decision, std::uint32_t index, bool remote)
     {
         const auto found
             = std::find_if(decision.candidates.begin(), decision.candidates.end(),
@@ -119,7 +119,7 @@
         addEngine("e2", 7);
         const Decision decision = run();
         CHECK(decision.target == 1);
-        CHECK(reasonOf(decision, 0, false) == LossReason::Leaving);
+        CHECK(reasonOf(decision, 0, false) == ExclusionReason::Leaving);
     }
 }
 
@@ -131,13 +131,13 @@
     facts.tried = { "e2" };
     const Decision decision = run();
     CHECK(decision.target == 2);
-    CHECK(reasonOf(decision, 0, false) == LossReason::Unhealthy);
-    CHECK(reasonOf(decision, 1, false) == LossReason::AlreadyTried);
+    CHECK(reasonOf(decision, 0, false) == ExclusionReason::Unhealthy);
+    CHECK(reasonOf(decision, 1, false) == ExclusionReason::AlreadyTried);
     facts.organisation = "pinned";
     facts.tried.clear();
     const Decision pinned = run();
     CHECK(pinned.target == 2);
-    CHECK(reasonOf(pinned, 1, false) == LossReason::VersionAbsent);
+    CHECK(reasonOf(pinned, 1, false) == ExclusionReason::VersionAbsent);
 }
 
 TEST_CASE_FIXTURE(DecisionFixture, "Decision, long shared prompt, goes to the same engine until that one is loaded")
@@ -179,7 +179,7 @@
     facts.organisation = "home";
     const Decision decision = run();
     CHECK(decision.verdict != Verdict::Forward);
-    CHECK(reasonOf(decision, 0, true) == LossReason::ResidencyForbids);
+    CHECK(reasonOf(decision, 0, true) == ExclusionReason::ResidencyForbids);
 }
 
 TEST_CASE_FIXTURE(DecisionFixture, "Decision, own engines full, sends away to the nearest region with room")
@@ -199,10 +199,10 @@
     facts.visited = { "s1" };
     const Decision decision = run();
     CHECK(decision.verdict != Verdict::Forward);
-    CHECK(reasonOf(decision, 0, true) == LossReason::AlreadyVisited);
+    CHECK(reasonOf(decision, 0, true) == ExclusionReason::AlreadyVisited);
     facts.visited.clear();
     facts.organisation = "short";
-    CHECK(reasonOf(run(), 0, true) == LossReason::HopLimit);
+    CHECK(reasonOf(run(), 0, true) == ExclusionReason::HopLimit);
 }
 
 TEST_CASE_FIXTURE(DecisionFixture, "Decision, free engine at home, is preferred over an emptier region")
@@ -211,7 +211,7 @@
     addRemote("s1", "south", 100, 0);
     const Decision decision = run();
     CHECK(decision.verdict == Verdict::Serve);
-    CHECK(reasonOf(decision, 0, true) == LossReason::MarginNotReached);
+    CHECK(reasonOf(decision, 0, true) == ExclusionReason::MarginNotReached);
 }
 
 TEST_CASE_FIXTURE(DecisionFixture, "Decision, many daemons with the same summary, together send about what is free")
@@ -237,8 +237,8 @@
     addRemote("w1", "west", 100, 0).reachable = false;
     const Decision decision = run();
     CHECK(decision.verdict != Verdict::Forward);
-    CHECK(reasonOf(decision, 0, true) == LossReason::Stale);
-    CHECK(reasonOf(decision, 1, true) == LossReason::Unreachable);
+    CHECK(reasonOf(decision, 0, true) == ExclusionReason::Stale);
+    CHECK(reasonOf(decision, 1, true) == ExclusionReason::Unreachable);
 }
 
 TEST_CASE_FIXTURE(DecisionFixture, "Decision, everything full, interactive is refused with a time and deferrable waits")
--- a/tests/introspective/properties_tests.cpp
+++ b/tests/introspective/properties_tests.cpp
@@ -111,8 +111,9 @@
             RC_ASSERT(facts.visited.size() < policy.hopLimit);
             RC_ASSERT(std::find(facts.visited.begin(), facts.visited.end(), view.dataCentre) == facts.visited.end());
         }
-        const auto chosen = std::count_if(decision.candidates.begin(), decision.candidates.end(),
-                                          [](const CandidateOutcome &outcome) { return outcome.reason == LossReason::None; });
+        const auto chosen
+            = std::count_if(decision.candidates.begin(), decision.candidates.end(),
+                            [](const CandidateOutcome &outcome) { return outcome.reason == ExclusionReason::None; });
         const bool goes = decision.verdict == Verdict::Serve || decision.verdict == Verdict::Forward;
         RC_ASSERT((!goes || chosen == 1));
     }));
--- a/tests/support/limit_fleet.cpp
+++ b/tests/support/limit_fleet.cpp
@@ -205,7 +205,7 @@
         const Answer &answer = answers_.begin()->second;
         Daemon &daemon = *daemons_.at(answer.daemon);
         if (daemon.life == answer.life) {
-            const LimitReading reading{ answer.named > 0 ? LimitWord::Named : LimitWord::Absent, answer.named };
+            const LimitReading reading{ answer.named > 0 ? LimitKind::Named : LimitKind::Absent, answer.named };
             daemon.limits->answered(upstream, reading, true, answer.sentAt, now_);
         }
         answers_.erase(answers_.begin());
--- a/tests/support/notice_fleet.cpp
+++ b/tests/support/notice_fleet.cpp
@@ -239,7 +239,7 @@
         && daemon.underWay.at(upstream) > 0) {
         return false;
     }
-    return daemon.notices->barred(upstreams_[upstream].id, now_) == LossReason::None;
+    return daemon.notices->exclusionReason(upstreams_[upstream].id, now_) == ExclusionReason::None;
 }
 
 void NoticeFleet::forward(Request request)
@@ -317,11 +317,11 @@
     --daemon.underWay[upstream];
     AnswerNotice notice;
     if (upstreams_[upstream].leaving) {
-        notice.leaving = LeavingWord::Leaving;
+        notice.leaving = LeavingNotice::Leaving;
         daemon.toldLeaving.try_emplace(upstream, now_);
     }
     if (!served) {
-        notice.backoff = { RetryAfterWord::Named, scenario_.askedTime };
+        notice.backoff = { RetryAfterKind::Named, scenario_.askedTime };
         daemon.trying.insert(upstream);
     } else {
         daemon.trying.erase(upstream);
@@ -350,7 +350,7 @@
         for (const Upstream &upstream : upstreams_) {
             ids.push_back(&upstream.id);
         }
-        const auto soonest = daemons_[request.daemon]->notices->soonestReturn(ids, now_);
+        const auto soonest = daemons_[request.daemon]->notices->earliestBackoffEnd(ids, now_);
         if (soonest) {
             back = *soonest + randomTime(returnSpread * std::chrono::duration<double>(*soonest).count());
         }
