--- a/benchmarks/control_slopes.cpp
+++ b/benchmarks/control_slopes.cpp
@@ -135,7 +135,7 @@
                 report.sequence = sequence_;
                 report.observedAt = network_.now;
                 report.load.running = engine % 8;
-                network_.node(nameOf(dataCentre, engine % size.daemons)).tellUpstream(report);
+                network_.node(nameOf(dataCentre, engine % size.daemons)).announceUpstream(report);
             }
             std::vector<SummaryEntry> summaries;
             for (unsigned service = 0; service < servicesEverywhere; ++service) {
@@ -147,7 +147,7 @@
                 summaries.push_back(entry);
             }
             for (unsigned index = 0; index < size.daemons; ++index) {
-                network_.node(nameOf(dataCentre, index)).tellSummaries(summaries, network_.now);
+                network_.node(nameOf(dataCentre, index)).announceSummaries(summaries, network_.now);
             }
         }
     }
--- a/src/portpaddle/control/membership_controller.cpp
+++ b/src/portpaddle/control/membership_controller.cpp
@@ -113,18 +113,18 @@
     }
 }
 
-void MembershipController::tellUpstream(const UpstreamReport &report)
+void MembershipController::announceUpstream(const UpstreamReport &report)
 {
     const std::lock_guard lock(mutex_);
     if (node_) {
-        node_->tellUpstream(report);
+        node_->announceUpstream(report);
     }
 }
 
-bool MembershipController::speaksFor(const std::string &subject, unsigned places) const
+bool MembershipController::isResponsibleFor(const std::string &subject, unsigned places) const
 {
     const std::lock_guard lock(mutex_);
-    return node_ == nullptr || node_->speaksFor(subject, places);
+    return node_ == nullptr || node_->isResponsibleFor(subject, places);
 }
 
 bool MembershipController::isAlone() const
@@ -194,10 +194,10 @@
         return;
     }
     toldAt_ = now;
-    node_->tellSummaries(summarise(*parts_.board.routing.read(), now), now);
-    node_->tellDemand(parts_.board.limiter.demand(now), now);
+    node_->announceSummaries(summarise(*parts_.board.routing.read(), now), now);
+    node_->announceDemand(parts_.board.limiter.demand(now), now);
     const MemberTable table = node_->memberTable(now);
-    parts_.board.limiter.update(node_->othersDemand(now), std::max(1U, table.counted), table.cutOff, now);
+    parts_.board.limiter.update(node_->othersDemand(now), std::max(1U, table.counted), table.partitioned, now);
 }
 
 void MembershipController::takeDigests(const std::vector<UpstreamDigest> &digests)
@@ -271,7 +271,7 @@
         summaries = news.summariesChanged ? namedSummaries(node_->summaries()) : nullptr;
     }
     const std::shared_ptr<const MemberTable> before = parts_.board.members.read();
-    const bool reachabilityChanged = table->cutOff != before->cutOff;
+    const bool reachabilityChanged = table->partitioned != before->partitioned;
     const bool membersChanged = news.membersChanged || reachabilityChanged || table->members.size() != before->members.size();
     if (membersChanged) {
         logChanges(*before, *table);
--- a/src/portpaddle/control/membership_controller.h
+++ b/src/portpaddle/control/membership_controller.h
@@ -47,8 +47,8 @@
     void setSeeds(std::vector<SocketAddress> seeds);
     void leave();
     void setSettingsVersion(std::uint64_t version);
-    void tellUpstream(const UpstreamReport &report);
-    bool speaksFor(const std::string &subject, unsigned places = 1) const;
+    void announceUpstream(const UpstreamReport &report);
+    bool isResponsibleFor(const std::string &subject, unsigned places = 1) const;
     /// Whether no other daemon is known.
     bool isAlone() const;
 
--- a/src/portpaddle/crashes/crash_digests.cpp
+++ b/src/portpaddle/crashes/crash_digests.cpp
@@ -63,9 +63,9 @@
 
 std::size_t countingRank(const FleetView &view, std::string_view daemon, const RequestFingerprint &request, std::size_t most)
 {
-    const double own = rendezvousDraw(hashOf(request), stableHash(daemon), 1);
+    const double own = rendezvousScore(hashOf(request), stableHash(daemon), 1);
     const auto before = std::count_if(view.daemons.begin(), view.daemons.end(), [&](const DaemonRecord &other) {
-        return !other.leaving && rendezvousDraw(hashOf(request), stableHash(other.id), 1) > own;
+        return !other.leaving && rendezvousScore(hashOf(request), stableHash(other.id), 1) > own;
     });
     return std::min(most, static_cast<std::size_t>(before));
 }
@@ -93,7 +93,7 @@
     std::map<std::string, std::vector<std::pair<double, const DaemonRecord *>>> regions;
     for (const DaemonRecord &daemon : view.daemons) {
         if (!daemon.leaving) {
-            regions[daemon.region].emplace_back(-rendezvousDraw(hashOf(request), stableHash(daemon.id), 1), &daemon);
+            regions[daemon.region].emplace_back(-rendezvousScore(hashOf(request), stableHash(daemon.id), 1), &daemon);
         }
     }
     std::vector<std::string> links;
--- a/src/portpaddle/daemon/admin_server.cpp
+++ b/src/portpaddle/daemon/admin_server.cpp
@@ -157,7 +157,7 @@
              { "settings_version", board.settings.read()->version() },
              { "platform_reachable", board.platform.read()->reachable },
              { "draining", board.draining.load() },
-             { "cut_off", table->cutOff },
+             { "cut_off", table->partitioned },
              { "daemons_alive", alive },
              { "requests_in_progress", daemon_.requestsInProgress() },
              { "audit_entries_waiting", daemon_.audit().waiting() } });
--- a/src/portpaddle/daemon/daemon.cpp
+++ b/src/portpaddle/daemon/daemon.cpp
@@ -41,20 +41,21 @@
                                    [this](const std::string &daemon, std::uint64_t version) { settings_.hint(daemon, version); },
                                    [this] { snapshots_.rebuild(); } })
     , settings_(SettingsControllerParts{
-          board_, platform_, clock, config_.place, [this] { return membership_.speaksFor("settings", platformReaders); },
+          board_, platform_, clock, config_.place, [this] { return membership_.isResponsibleFor("settings", platformReaders); },
           [this](const std::string &daemon, std::uint64_t after) -> std::optional<std::string> {
               Result<std::optional<std::string>> reply = links_.ask(daemon, "settings_after", std::to_string(after));
               return isOk(reply) ? valueOf(reply) : std::nullopt;
           },
           [this](std::uint64_t version) { settingsApplied(version); }, config_.settingsWatch })
-    , observer_(ObserverParts{ board_, clock, [this](const std::string &upstream) { return membership_.speaksFor(upstream); },
-                               [this](const UpstreamReport &report) { membership_.tellUpstream(report); },
+    , observer_(ObserverParts{ board_, clock,
+                               [this](const std::string &upstream) { return membership_.isResponsibleFor(upstream); },
+                               [this](const UpstreamReport &report) { membership_.announceUpstream(report); },
                                [this] {
                                    snapshots_.rebuild();
                                    dispatcher_.wakeWaiting();
                                } })
     , orders_(OrderParts{ board_, clock, platform_, orderSender_, config_.place.dataCentre, config_.id,
-                          [this] { return !board_.draining && membership_.speaksFor("orders", platformReaders); } })
+                          [this] { return !board_.draining && membership_.isResponsibleFor("orders", platformReaders); } })
     , linkServer_(LinkServerParts{
           PeerIdentity{ config_.id, config_.place.dataCentre }, config_.clusterKey, board_, clock, metrics_, dispatcher_,
           [this](const PeerIdentity &peer, const std::string &kind, const std::string &argument) {
@@ -264,7 +265,7 @@
     Millis auditAt{ 0 };
     while (true) {
         const Millis now = clock_.monotonic();
-        const bool reads = membership_.isAlone() || membership_.speaksFor("vm_list", platformReaders);
+        const bool reads = membership_.isAlone() || membership_.isResponsibleFor("vm_list", platformReaders);
         if (reads && (vmListAt == Millis{ 0 } || now >= vmListAt + vmListInterval)) {
             vmListAt = now;
             readVmList();
--- a/src/portpaddle/fleet/role_ranking.cpp
+++ b/src/portpaddle/fleet/role_ranking.cpp
@@ -42,7 +42,7 @@
     std::vector<Ranked> ranked;
     for (const DaemonRecord &daemon : view.daemons) {
         if (daemon.region == region && !daemon.leaving) {
-            ranked.push_back({ rendezvousDraw(key, stableHash(daemon.id), weightOf(daemon)), &daemon });
+            ranked.push_back({ rendezvousScore(key, stableHash(daemon.id), weightOf(daemon)), &daemon });
         }
     }
     std::sort(ranked.begin(), ranked.end(), [](const Ranked &a, const Ranked &b) { return a.draw > b.draw; });
--- a/src/portpaddle/fleet/stable_owner.cpp
+++ b/src/portpaddle/fleet/stable_owner.cpp
@@ -52,9 +52,9 @@
     if (!std::binary_search(members.begin(), members.end(), self_)) {
         return std::nullopt;
     }
-    const double own = rendezvousDraw(key, self_, 1);
+    const double own = rendezvousScore(key, self_, 1);
     const auto before = std::count_if(members.begin(), members.end(), [&](std::uint64_t member) {
-        return member != self_ && rendezvousDraw(key, member, 1) >= own;
+        return member != self_ && rendezvousScore(key, member, 1) >= own;
     });
     return static_cast<std::size_t>(before);
 }
--- a/src/portpaddle/gateway/entry_choice.cpp
+++ b/src/portpaddle/gateway/entry_choice.cpp
@@ -37,7 +37,7 @@
 {
     if (daemons.size() > mostEntries) {
         const std::uint64_t key = stableHash(place.dataCentre);
-        const auto draw = [key](const DaemonRecord *daemon) { return rendezvousDraw(key, stableHash(daemon->id), 1); };
+        const auto draw = [key](const DaemonRecord *daemon) { return rendezvousScore(key, stableHash(daemon->id), 1); };
         std::sort(daemons.begin(), daemons.end(),
                   [&draw](const DaemonRecord *a, const DaemonRecord *b) { return draw(a) > draw(b); });
         daemons.resize(mostEntries);
--- a/src/portpaddle/gateway/exchange_moves.cpp
+++ b/src/portpaddle/gateway/exchange_moves.cpp
@@ -69,7 +69,7 @@
 
 Task<std::optional<Target>> Exchange::otherDaemon(const DaemonRecord &ending)
 {
-    const SteadyTime until = BootClock::now() + route_->firstEventPatience() / 2;
+    const SteadyTime until = BootClock::now() + route_->firstEventTimeout() / 2;
     while (interruption_ == Interruption::None && BootClock::now() < until) {
         const DaemonRecord *daemon = gateway_.regions_.pickBeside(*gateway_.view_, ending, BootClock::now(), gateway_.random_);
         if (daemon != nullptr) {
--- a/src/portpaddle/gateway/gateway_choice.cpp
+++ b/src/portpaddle/gateway/gateway_choice.cpp
@@ -196,7 +196,7 @@
     const double tokensSeen = static_cast<double>(context.eventsSeen) * spec->tokensPerEvent;
     facts.tokensOut = std::max(0.0, request.prompt.expectedTokensOut - tokensSeen);
     facts.begun = context.eventsSeen > 0;
-    facts.firstTokenBoundMs = std::min(timeLeftMs, millisLeft(request.arrivedAt + route.firstEventPatience(), now));
+    facts.firstTokenBoundMs = std::min(timeLeftMs, millisLeft(request.arrivedAt + route.firstEventTimeout(), now));
     facts.wholeBoundMs = std::min(timeLeftMs, millisLeft(context.overBy, now));
     facts.lateLast = policy_.lateLast;
     facts.targetMs = static_cast<double>(route.targetLatency.count());
--- a/src/portpaddle/gateway/gateway_server.h
+++ b/src/portpaddle/gateway/gateway_server.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "portpaddle/gateway/gateway.h"
-#include "portpaddle/gateway/peer_turns.h"
+#include "portpaddle/gateway/round_robin_cursor.h"
 #include "portpaddle/gateway/session_listener.h"
 
 #include <boost/asio/basic_datagram_socket.hpp>
@@ -83,7 +83,7 @@
     std::size_t tickNumber_ = 0;
     SteadyTime lastTickAt_ = BootClock::now();
     SteadyTime previousTickAt_ = lastTickAt_;
-    PeerTurns remoteTurns_;
+    RoundRobinCursor remoteTurns_;
     std::size_t localTurn_ = 0;
 };
 
--- a/src/portpaddle/gateway/prompt_homes.cpp
+++ b/src/portpaddle/gateway/prompt_homes.cpp
@@ -27,7 +27,7 @@
         if (region.upstreams <= 0) {
             continue;
         }
-        const double draw = rendezvousDraw(topic, region.key, region.upstreams);
+        const double draw = rendezvousScore(topic, region.key, region.upstreams);
         if (draw > greatest) {
             greatest = draw;
             home = &region;
@@ -56,7 +56,7 @@
     const bool atHome = home != nullptr && home->region == nullptr;
     const auto &kept = atHome ? keptInHomeRegion : keptElsewhere;
     const std::size_t homes = std::min(upstreams.size(), kept.size());
-    const auto draw = [topic](const HomeCandidate &candidate) { return rendezvousDraw(topic, candidate.key, 1); };
+    const auto draw = [topic](const HomeCandidate &candidate) { return rendezvousScore(topic, candidate.key, 1); };
     std::partial_sort(upstreams.begin(), upstreams.begin() + static_cast<std::ptrdiff_t>(homes), upstreams.end(),
                       [&draw](const HomeCandidate &one, const HomeCandidate &other) { return draw(one) > draw(other); });
     for (std::size_t rank = 0; rank < homes; ++rank) {
--- a/src/portpaddle/gateway/peer_turns.cpp
+++ b/src/portpaddle/gateway/round_robin_cursor.cpp
@@ -1,15 +1,15 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/gateway/peer_turns.h"
+#include "portpaddle/gateway/round_robin_cursor.h"
 
 namespace Portpaddle {
 
-PeerTurns::PeerTurns(std::uint64_t key) : turn_(key)
+RoundRobinCursor::RoundRobinCursor(std::uint64_t key) : turn_(key)
 {
 }
 
-std::size_t PeerTurns::next(std::size_t count)
+std::size_t RoundRobinCursor::next(std::size_t count)
 {
     return static_cast<std::size_t>(turn_++ % count);
 }
--- a/src/portpaddle/gateway/peer_turns.h
+++ b/src/portpaddle/gateway/round_robin_cursor.h
@@ -10,11 +10,11 @@
 namespace Portpaddle {
 
 /// Goes round a list from a place that depends on the daemon: those that start together must not all tell the same ones first.
-class PeerTurns
+class RoundRobinCursor
 {
 public:
     /// @p key differs between daemons.
-    explicit PeerTurns(std::uint64_t key);
+    explicit RoundRobinCursor(std::uint64_t key);
     /// The next index below @p count, which must not be zero.
     std::size_t next(std::size_t count);
 
--- a/src/portpaddle/gateway/service_map.cpp
+++ b/src/portpaddle/gateway/service_map.cpp
@@ -31,7 +31,7 @@
     return kind == RouteKind::Idempotent || resumable;
 }
 
-Millis Route::firstEventPatience() const
+Millis Route::firstEventTimeout() const
 {
     if (kind != RouteKind::Stream) {
         return timeout;
--- a/src/portpaddle/gateway/service_map.h
+++ b/src/portpaddle/gateway/service_map.h
@@ -52,7 +52,7 @@
 
     bool mayRunTwice() const;
     /// How long callers wait for the first event of a stream before they leave.
-    Millis firstEventPatience() const;
+    Millis firstEventTimeout() const;
     bool allowsRegion(std::string_view region) const;
     /// The service for a request; the same @p requestHash gives the same service.
     const std::string &serviceFor(std::uint64_t requestHash) const;
--- a/src/portpaddle/limits/limiter.cpp
+++ b/src/portpaddle/limits/limiter.cpp
@@ -98,17 +98,17 @@
     }
 }
 
-void Limiter::update(const std::vector<OthersDemand> &others, unsigned daemons, bool cutOff, Millis now)
+void Limiter::update(const std::vector<OthersDemand> &others, unsigned daemons, bool partitioned, Millis now)
 {
     const std::lock_guard lock(mutex_);
     daemons_ = daemons;
-    cutOff_ = cutOff;
+    partitioned_ = partitioned;
     std::unordered_map<std::string, double> byOrganisation;
     for (const OthersDemand &other : others) {
         byOrganisation[other.organisation] += other.requestsPerSecond;
     }
     for (auto &[organisation, state] : states_) {
-        state.share.update(SliceInput{ state.demand, byOrganisation[organisation], daemons, cutOff }, now);
+        state.share.update(SliceInput{ state.demand, byOrganisation[organisation], daemons, partitioned }, now);
     }
 }
 
@@ -147,7 +147,7 @@
     if (isNew) {
         state.refilledAt = now;
         state.measuredAt = now;
-        state.share.update(SliceInput{ 0, 0, daemons_, cutOff_ }, now);
+        state.share.update(SliceInput{ 0, 0, daemons_, partitioned_ }, now);
     }
     return state;
 }
--- a/src/portpaddle/limits/limiter.h
+++ b/src/portpaddle/limits/limiter.h
@@ -55,7 +55,7 @@
     /// Charges tokens that were generated beyond what admission counted.
     void charge(const std::string &organisation, double tokens);
     /// Updates the slices from what others ask for.
-    void update(const std::vector<OthersDemand> &others, unsigned daemons, bool cutOff, Millis now);
+    void update(const std::vector<OthersDemand> &others, unsigned daemons, bool partitioned, Millis now);
     /// The organisations asking now, the busiest first.
     std::vector<OwnDemand> demand(Millis now);
     double shareOf(const std::string &organisation);
@@ -88,7 +88,7 @@
     std::mutex mutex_;
     std::unordered_map<std::string, State> states_;
     unsigned daemons_ = 1;
-    bool cutOff_ = false;
+    bool partitioned_ = false;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/limits/slices.cpp
+++ b/src/portpaddle/limits/slices.cpp
@@ -47,7 +47,7 @@
         share_ = target;
         return;
     }
-    if (!input.cutOff) {
+    if (!input.partitioned) {
         share_ = std::min(target, share_ * std::exp2(elapsed / doublingMs));
     }
 }
--- a/src/portpaddle/limits/slices.h
+++ b/src/portpaddle/limits/slices.h
@@ -20,7 +20,7 @@
     /// Daemons that count: the live ones and those that vanished recently.
     unsigned daemons = 1;
     /// Some of them cannot be heard: nobody may grow on their account.
-    bool cutOff = false;
+    bool partitioned = false;
 };
 
 /// The share of the limit, in (0, 1], that this daemon should move to.
--- a/src/portpaddle/link/peer_links.cpp
+++ b/src/portpaddle/link/peer_links.cpp
@@ -86,7 +86,7 @@
     // Each daemon prefers others: together they spread over the whole data centre with few links each.
     const std::uint64_t key = stableHash(self_.node);
     std::sort(result.begin(), result.end(), [&](const MemberView &left, const MemberView &right) {
-        return rendezvousDraw(key, stableHash(left.id), 1) > rendezvousDraw(key, stableHash(right.id), 1);
+        return rendezvousScore(key, stableHash(left.id), 1) > rendezvousScore(key, stableHash(right.id), 1);
     });
     return result;
 }
--- a/src/portpaddle/membership/gossip_node.cpp
+++ b/src/portpaddle/membership/gossip_node.cpp
@@ -139,7 +139,7 @@
     settingsVersion_ = version;
 }
 
-void GossipNode::tellUpstream(const UpstreamReport &report)
+void GossipNode::announceUpstream(const UpstreamReport &report)
 {
     const UpstreamDigest digest{
         shortKey(report.upstream),    report.sequence, report.observedAt, report.load.running, report.load.queuedInteractive,
@@ -149,20 +149,20 @@
     items_.add(digest, tellingsHere());
 }
 
-void GossipNode::tellSummaries(const std::vector<SummaryEntry> &entries, Millis now)
+void GossipNode::announceSummaries(const std::vector<SummaryEntry> &entries, Millis now)
 {
-    if (entries.empty() || !speaksFor("summary", summarySpeakers)) {
+    if (entries.empty() || !isResponsibleFor("summary", summarySpeakers)) {
         return;
     }
     items_.add(figures_.nextSummary(entries, now), tellingsEverywhere());
 }
 
-void GossipNode::tellDemand(const std::vector<OwnDemand> &demand, Millis now)
+void GossipNode::announceDemand(const std::vector<OwnDemand> &demand, Millis now)
 {
     ++demandSequence_;
     for (const OwnDemand &own : demand) {
         items_.add(figures_.ownDemand(own, demandSequence_), tellingsHere());
-        if (speaksFor(own.organisation)) {
+        if (isResponsibleFor(own.organisation)) {
             items_.add(figures_.nextTotal(own, now), tellingsEverywhere());
         }
     }
@@ -185,7 +185,7 @@
         view.suspected = update.state == MemberState::Suspect || !dataCentreHeard(update.dataCentre, now);
         const bool vanishedLately = update.state == MemberState::Dead && now < record.since + config_.limitMemory;
         table.counted += view.alive || vanishedLately ? 1 : 0;
-        table.cutOff = table.cutOff || (view.alive && view.suspected);
+        table.partitioned = table.partitioned || (view.alive && view.suspected);
         table.members.push_back(std::move(view));
     }
     return table;
@@ -217,10 +217,10 @@
     return result;
 }
 
-bool GossipNode::speaksFor(const std::string &subject, unsigned places) const
+bool GossipNode::isResponsibleFor(const std::string &subject, unsigned places) const
 {
     const std::uint64_t key = stableHash(subject);
-    const double mine = rendezvousDraw(key, stableHash(members_.self().id), 1);
+    const double mine = rendezvousScore(key, stableHash(members_.self().id), 1);
     const std::vector<std::string> local = localMembers();
     // Whoever leaves has handed over, unless nobody else is left to do it.
     if (members_.self().state == MemberState::Leaving && !local.empty()) {
@@ -228,7 +228,7 @@
     }
     unsigned before = 0;
     for (const std::string &id : local) {
-        if (id != members_.self().id && rendezvousDraw(key, stableHash(id), 1) > mine) {
+        if (id != members_.self().id && rendezvousScore(key, stableHash(id), 1) > mine) {
             ++before;
         }
     }
--- a/src/portpaddle/membership/gossip_node.h
+++ b/src/portpaddle/membership/gossip_node.h
@@ -67,11 +67,11 @@
     void leave();
     void setSettingsVersion(std::uint64_t version);
     /// Tells the data centre what this daemon saw of an upstream.
-    void tellUpstream(const UpstreamReport &report);
+    void announceUpstream(const UpstreamReport &report);
     /// Tells everyone what this data centre offers, if this daemon speaks for it.
-    void tellSummaries(const std::vector<SummaryEntry> &summaries, Millis now);
+    void announceSummaries(const std::vector<SummaryEntry> &summaries, Millis now);
     /// Tells the data centre what organisations ask of this daemon, and everyone the total, for those it speaks for.
-    void tellDemand(const std::vector<OwnDemand> &demand, Millis now);
+    void announceDemand(const std::vector<OwnDemand> &demand, Millis now);
 
     GossipUpdates takeUpdates();
     MemberTable memberTable(Millis now) const;
@@ -82,7 +82,7 @@
     /// Live members of the own data centre, this one included, in a common order.
     std::vector<std::string> localMembers() const;
     /// Whether this daemon is among the first @p places of the ranking of its data centre for @p subject.
-    bool speaksFor(const std::string &subject, unsigned places = 1) const;
+    bool isResponsibleFor(const std::string &subject, unsigned places = 1) const;
     std::uint64_t rejected() const;
 
 private:
--- a/src/portpaddle/routing/blackboard.h
+++ b/src/portpaddle/routing/blackboard.h
@@ -34,7 +34,7 @@
 {
     std::vector<MemberView> members;
     /// Whether daemons are missing that nobody says have left.
-    bool cutOff = false;
+    bool partitioned = false;
     /// Daemons that count for limits: live ones and those that vanished recently.
     unsigned counted = 1;
 };
--- a/src/portpaddle/routing/decision.cpp
+++ b/src/portpaddle/routing/decision.cpp
@@ -89,7 +89,7 @@
             if (view.leaving != LeavingSignal::None || !view.healthy) {
                 continue;
             }
-            const double draw = rendezvousDraw(facts_.prefixHash, view.idHash, view.slots);
+            const double draw = rendezvousScore(facts_.prefixHash, view.idHash, view.slots);
             if (draw > best) {
                 best = draw;
                 prefixHolder_ = position;
--- a/src/portpaddle/routing/rendezvous.cpp
+++ b/src/portpaddle/routing/rendezvous.cpp
@@ -17,7 +17,7 @@
 
 // The straw2 idea of CRUSH: scaling the logarithm of a uniform draw by the weight means that changing
 // one member's weight moves keys only to or from that member.
-double rendezvousDraw(std::uint64_t key, std::uint64_t member, double weight)
+double rendezvousScore(std::uint64_t key, std::uint64_t member, double weight)
 {
     if (weight <= 0) {
         return -std::numeric_limits<double>::infinity();
--- a/src/portpaddle/routing/rendezvous.h
+++ b/src/portpaddle/routing/rendezvous.h
@@ -12,6 +12,6 @@
 /// Hashes text; stable over versions of the program.
 std::uint64_t stableHash(std::string_view text);
 /// The draw of a member for a key; the member with the greatest draw wins. Draws are at most zero.
-double rendezvousDraw(std::uint64_t key, std::uint64_t member, double weight);
+double rendezvousScore(std::uint64_t key, std::uint64_t member, double weight);
 
 } // namespace Portpaddle
--- a/tests/gateway/fleet_view_tests.cpp
+++ b/tests/gateway/fleet_view_tests.cpp
@@ -11,7 +11,7 @@
 #include "portpaddle/gateway/fleet_registry.h"
 #include "portpaddle/gateway/gateway.h"
 #include "portpaddle/gateway/load_digest.h"
-#include "portpaddle/gateway/peer_turns.h"
+#include "portpaddle/gateway/round_robin_cursor.h"
 #include "portpaddle/routing/rendezvous.h"
 #include "support/daemon_records.h"
 
@@ -326,7 +326,7 @@
     constexpr std::size_t others = 38;
     std::set<std::size_t> told;
     for (int daemon = 0; daemon < 20; ++daemon) {
-        PeerTurns turns(stableHash("front-" + std::to_string(daemon)));
+        RoundRobinCursor turns(stableHash("front-" + std::to_string(daemon)));
         for (int count = 0; count < 5 * 3; ++count) {
             told.insert(turns.next(others));
         }
--- a/tests/gateway/upstream_limit_tests.cpp
+++ b/tests/gateway/upstream_limit_tests.cpp
@@ -82,7 +82,7 @@
     void addDaemonRankedFirst(const std::string &upstream)
     {
         const auto draw
-            = [&upstream](const std::string &daemon) { return rendezvousDraw(stableHash(upstream), stableHash(daemon), 1); };
+            = [&upstream](const std::string &daemon) { return rendezvousScore(stableHash(upstream), stableHash(daemon), 1); };
         std::string id = "other";
         while (draw(id) < draw("d")) {
             id += "x";
--- a/tests/introspective/decision_tests.cpp
+++ b/tests/introspective/decision_tests.cpp
@@ -281,7 +281,7 @@
         std::size_t best = 0;
         for (std::size_t index = 1; index < list.size(); ++index) {
             const auto weight = [&](std::size_t at) { return at == 0 ? firstWeight : 1.0; };
-            if (rendezvousDraw(key, list[index], weight(index)) > rendezvousDraw(key, list[best], weight(best))) {
+            if (rendezvousScore(key, list[index], weight(index)) > rendezvousScore(key, list[best], weight(best))) {
                 best = index;
             }
         }
--- a/tests/introspective/limit_tests.cpp
+++ b/tests/introspective/limit_tests.cpp
@@ -62,16 +62,16 @@
         }
         for (std::size_t index = 0; index < limiters.size(); ++index) {
             std::vector<OthersDemand> others;
-            bool cutOff = false;
+            bool partitioned = false;
             for (std::size_t other = 0; other < limiters.size(); ++other) {
                 const bool hears = groups[index] == groups[other];
-                cutOff = cutOff || !hears;
+                partitioned = partitioned || !hears;
                 heard[index][other] = hears ? demand[other] : heard[index][other];
                 if (other != index) {
                     others.push_back(OthersDemand{ "o", heard[index][other] });
                 }
             }
-            limiters[index]->update(others, static_cast<unsigned>(limiters.size()), cutOff, now);
+            limiters[index]->update(others, static_cast<unsigned>(limiters.size()), partitioned, now);
         }
     }
 
--- a/tests/introspective/membership_tests.cpp
+++ b/tests/introspective/membership_tests.cpp
@@ -132,12 +132,12 @@
     network.lost = across;
     network.pass(Millis{ 120'000 });
     CHECK(network.allSeeAllAlive());
-    CHECK(network.node("n-a").memberTable(network.now).cutOff);
+    CHECK(network.node("n-a").memberTable(network.now).partitioned);
     for (const MemberView &member : network.node("n-a").memberTable(network.now).members) {
         CHECK(member.suspected == (member.dataCentre == "s1"));
     }
     network.lost = [](const std::string &, const std::string &) { return false; };
-    CHECK(network.passUntil(Millis{ 10'000 }, [&] { return !network.node("n-a").memberTable(network.now).cutOff; }));
+    CHECK(network.passUntil(Millis{ 10'000 }, [&] { return !network.node("n-a").memberTable(network.now).partitioned; }));
 }
 
 TEST_CASE_FIXTURE(GossipFixture, "Membership, one-way cut between two daemons, third one vouches and nobody dies")
@@ -194,7 +194,7 @@
     network.node("n-a").takeUpdates();
     network.node("n-b").takeUpdates();
     network.node("s-a").takeUpdates();
-    network.node("n-a").tellUpstream(report);
+    network.node("n-a").announceUpstream(report);
     network.pass(Millis{ 5'000 });
     CHECK(network.node("n-b").takeUpdates().upstreams.size() == 1);
     for (const char *id : { "s-a", "s-b", "s-c" }) {
@@ -211,7 +211,7 @@
     for (int round = 1; round <= 5; ++round) {
         entry.busy = static_cast<unsigned>(round);
         for (const char *id : { "n-a", "n-b", "n-c" }) {
-            network.node(id).tellSummaries({ entry }, network.now);
+            network.node(id).announceSummaries({ entry }, network.now);
         }
         network.pass(Millis{ 1'000 });
     }
@@ -249,7 +249,7 @@
             report.upstream = "engine-" + std::to_string(engine);
             report.sequence = sequence;
             report.observedAt = network.now;
-            network.node("daemon-" + std::to_string(engine % daemons)).tellUpstream(report);
+            network.node("daemon-" + std::to_string(engine % daemons)).announceUpstream(report);
         }
         network.pass(Millis{ 1'000 });
     }
@@ -300,14 +300,14 @@
             entries[service].service = "model-" + std::to_string(service);
         }
         for (auto &[id, node] : network.nodes()) {
-            node->tellSummaries(entries, network.now);
+            node->announceSummaries(entries, network.now);
         }
         for (int engine = 0; engine < 77; ++engine) {
             UpstreamReport report;
             report.upstream = "engine-" + std::to_string(engine);
             report.sequence = second;
             report.observedAt = network.now;
-            network.node("daemon-" + std::to_string(engine % 30)).tellUpstream(report);
+            network.node("daemon-" + std::to_string(engine % 30)).announceUpstream(report);
         }
         network.pass(Millis{ 1'000 });
         arrived += network.node("daemon-0").takeUpdates().upstreams.size();
@@ -326,7 +326,7 @@
     const auto readers = [&] {
         std::vector<std::string> result;
         for (auto &[id, node] : network.nodes()) {
-            if (node->speaksFor("settings", 2)) {
+            if (node->isResponsibleFor("settings", 2)) {
                 result.push_back(id);
             }
         }
--- a/tests/support/limit_scenario.cpp
+++ b/tests/support/limit_scenario.cpp
@@ -146,7 +146,7 @@
     {
         silent_.clear();
         for (std::size_t daemon = 0; daemon < daemons.size(); ++daemon) {
-            alive_[daemon] = daemons[daemon].alive && !daemons[daemon].cutOff;
+            alive_[daemon] = daemons[daemon].alive && !daemons[daemon].partitioned;
             if (!alive_[daemon]) {
                 silent_.insert(std::to_string(daemon));
             }
@@ -271,13 +271,14 @@
                 const bool across = daemons[other].region != daemons[daemon].region
                     && (static_cast<int>(daemons[other].region) == regionCut
                         || static_cast<int>(daemons[daemon].region) == regionCut);
-                if (other != daemon && !across && daemons[other].alive && !daemons[other].cutOff) {
+                if (other != daemon && !across && daemons[other].alive && !daemons[other].partitioned) {
                     others += demand[other];
                 }
             }
-            const bool cutOff = daemons[daemon].cutOff || regionCut != noRegion;
-            if (!daemons[daemon].cutOff) {
-                limiters_[daemon]->update({ { "shop", others } }, static_cast<unsigned>(daemons.size()), cutOff, millis(now));
+            const bool partitioned = daemons[daemon].partitioned || regionCut != noRegion;
+            if (!daemons[daemon].partitioned) {
+                limiters_[daemon]->update({ { "shop", others } }, static_cast<unsigned>(daemons.size()), partitioned,
+                                          millis(now));
             }
         }
     }
@@ -341,7 +342,7 @@
             }
         }
         if (scenario.event == LimitEvent::HotAndDaemonsCut && daemon % 6 == 4) {
-            daemons[daemon].cutOff = at >= 9s && at < 15s;
+            daemons[daemon].partitioned = at >= 9s && at < 15s;
         }
     }
 }
--- a/tests/support/limit_scenario.h
+++ b/tests/support/limit_scenario.h
@@ -47,7 +47,7 @@
     /// Restarted or not running.
     bool alive = true;
     /// Nobody hears it and it hears nobody.
-    bool cutOff = false;
+    bool partitioned = false;
 };
 
 /// A way to keep a limit over all daemons, with the delays of its news.
