--- a/src/portpaddle/base/log.cpp
+++ b/src/portpaddle/base/log.cpp
@@ -84,9 +84,9 @@
 
 // Lines of one event in a second, before the rest is only counted. Four hundred lines of 300 bytes cost a small VM about one
 // hundredth of its processor.
-constexpr unsigned mostLinesPerSecond = 400;
+constexpr unsigned maxLinesPerSecond = 400;
 // A reader that is slow for a second loses nothing.
-constexpr std::size_t mostBufferedBytes = 256 * 1024;
+constexpr std::size_t maxBufferedBytes = 256 * 1024;
 // A pipe that is writable takes this much without blocking.
 constexpr std::size_t pipeStep = 4'096;
 
@@ -152,7 +152,7 @@
             log.dropped = 0;
         }
     }
-    return ++log.linesThisSecond[event] <= mostLinesPerSecond;
+    return ++log.linesThisSecond[event] <= maxLinesPerSecond;
 }
 
 /// Writes without blocking where standard output can say that it is ready; the rest stays buffered.
@@ -204,7 +204,7 @@
     LogState &log = state();
     const std::lock_guard lock(log.mutex);
     const std::int64_t time = wallMillis();
-    if (!admit(log, event, time) || log.buffer.size() > mostBufferedBytes) {
+    if (!admit(log, event, time) || log.buffer.size() > maxBufferedBytes) {
         ++log.dropped;
         return;
     }
--- a/src/portpaddle/control/audit_trail.cpp
+++ b/src/portpaddle/control/audit_trail.cpp
@@ -21,7 +21,7 @@
 const std::string auditPrefix = "portpaddle/audit/";
 constexpr Millis retention = 24h * 90;
 constexpr Millis leaseRenewal = 24h;
-constexpr std::size_t mostWaiting = 1'000;
+constexpr std::size_t maxWaiting = 1'000;
 constexpr std::size_t pageSize = 500;
 
 AuditEntry entryFromText(const std::string &text)
@@ -60,7 +60,7 @@
     {
         const std::lock_guard lock(mutex_);
         waiting_.push_back(std::move(entry));
-        if (waiting_.size() > mostWaiting) {
+        if (waiting_.size() > maxWaiting) {
             waiting_.pop_front();
         }
     }
--- a/src/portpaddle/crashes/crash_digests.cpp
+++ b/src/portpaddle/crashes/crash_digests.cpp
@@ -19,7 +19,7 @@
 // In each region, so that those of a region that is cut off still count what ends there; two, as one may just have stopped.
 constexpr std::size_t countingInRegion = 2;
 // Waiting to be told; a crash of a large upstream brings some hundred.
-constexpr std::size_t mostWaiting = 2'048;
+constexpr std::size_t maxWaiting = 2'048;
 
 std::uint64_t hashOf(const RequestFingerprint &request)
 {
@@ -43,7 +43,7 @@
 void inPieces(std::span<const Item> items, auto tell)
 {
     while (!items.empty()) {
-        const std::span<const Item> piece = items.first(std::min(mostDigestCrashes, items.size()));
+        const std::span<const Item> piece = items.first(std::min(maxDigestCrashes, items.size()));
         tell(std::vector<Item>(piece.begin(), piece.end()));
         items = items.subspan(piece.size());
     }
@@ -76,14 +76,14 @@
 
 void CrashDigests::endedUnder(const RequestFingerprint &request, std::uint64_t upstream)
 {
-    if (ended_.size() < mostWaiting) {
+    if (ended_.size() < maxWaiting) {
         ended_.push_back({ Wire::EndedUnder(toWire(request), upstream), timesTold });
     }
 }
 
 void CrashDigests::quarantined(const RequestFingerprint &request)
 {
-    if (quarantined_.size() < mostWaiting) {
+    if (quarantined_.size() < maxWaiting) {
         quarantined_.push_back({ toWire(request), timesTold });
     }
 }
--- a/src/portpaddle/crashes/crash_guard.cpp
+++ b/src/portpaddle/crashes/crash_guard.cpp
@@ -24,7 +24,7 @@
 constexpr unsigned endsBeforeHold = 2;
 // Daemons write a hold one after the other, until one of them has: changes gather for half a second before others see them.
 constexpr Millis writeStagger{ 1'500 };
-constexpr std::size_t mostWriters = 6;
+constexpr std::size_t maxWriters = 6;
 
 } // namespace
 
@@ -166,7 +166,7 @@
         return;
     }
     for (const Quarantine::Unwritten &unwritten : quarantine_.unwritten(now)) {
-        const auto rank = static_cast<int>(countingRank(*view_, ownId_, unwritten.request, mostWriters));
+        const auto rank = static_cast<int>(countingRank(*view_, ownId_, unwritten.request, maxWriters));
         if (now >= unwritten.since + writeStagger * rank) {
             quarantine_.askedToWrite(unwritten.request, now);
             write_(unwritten.request);
--- a/src/portpaddle/crashes/crash_ledger.cpp
+++ b/src/portpaddle/crashes/crash_ledger.cpp
@@ -13,15 +13,15 @@
 // As long as the hold on a request is kept on the platform.
 constexpr std::chrono::minutes generationTime{ 10 };
 // A large upstream has some hundred requests when it ends; 64 such ends fit.
-constexpr std::size_t mostYoung = 8'192;
+constexpr std::size_t maxYoung = 8'192;
 // More ends of upstreams say nothing more.
-constexpr std::size_t mostLives = 8;
+constexpr std::size_t maxLives = 8;
 
 } // namespace
 
 unsigned CrashLedger::add(const RequestFingerprint &request, std::uint64_t upstream, SteadyTime now)
 {
-    if (young_.size() >= mostYoung || now - youngSince_ >= generationTime) {
+    if (young_.size() >= maxYoung || now - youngSince_ >= generationTime) {
         old_ = std::exchange(young_, {});
         youngSince_ = now;
     }
@@ -32,7 +32,7 @@
     }
     Lives &lives = young_[request];
     const bool known = std::find(lives.begin(), lives.end(), upstream) != lives.end();
-    if (!known && lives.size() < mostLives) {
+    if (!known && lives.size() < maxLives) {
         lives.push_back(upstream);
     }
     return static_cast<unsigned>(lives.size());
--- a/src/portpaddle/crashes/crash_watch.cpp
+++ b/src/portpaddle/crashes/crash_watch.cpp
@@ -13,8 +13,8 @@
 // The record of an upstream that ended without a word goes after three heartbeats of silence, about four seconds.
 constexpr Millis longestWait{ 10'000 };
 // A large upstream runs some hundred requests at once, and a daemon has a part of them.
-constexpr std::size_t mostSuspects = 512;
-constexpr std::size_t mostLives = 1'024;
+constexpr std::size_t maxSuspects = 512;
+constexpr std::size_t maxLives = 1'024;
 
 } // namespace
 
@@ -22,12 +22,12 @@
 {
     const auto known = lives_.find(upstream);
     const bool first = known == lives_.end();
-    if (first && lives_.size() >= mostLives) {
+    if (first && lives_.size() >= maxLives) {
         return false;
     }
     Life &life = first ? lives_.emplace(upstream, Life{ {}, now }).first->second : known->second;
     const bool listed = std::find(life.suspects.begin(), life.suspects.end(), fingerprint) != life.suspects.end();
-    if (!listed && life.suspects.size() < mostSuspects) {
+    if (!listed && life.suspects.size() < maxSuspects) {
         life.suspects.push_back(fingerprint);
     }
     return first;
@@ -46,7 +46,7 @@
     const auto known = lives_.find(upstream);
     if (known != lives_.end()) {
         known->second.over = true;
-    } else if (lives_.size() < mostLives) {
+    } else if (lives_.size() < maxLives) {
         // Runs whose break is noticed a moment later count as well.
         lives_.emplace(upstream, Life{ {}, now, true });
     }
--- a/src/portpaddle/crashes/quarantine.cpp
+++ b/src/portpaddle/crashes/quarantine.cpp
@@ -28,7 +28,7 @@
 
 void Quarantine::makeRoom()
 {
-    if (held_.size() < mostQuarantined) {
+    if (held_.size() < maxQuarantined) {
         return;
     }
     const auto oldest = std::min_element(held_.begin(), held_.end(),
--- a/src/portpaddle/crashes/quarantine.h
+++ b/src/portpaddle/crashes/quarantine.h
@@ -16,7 +16,7 @@
 /// How long a request is held on the platform after it came last.
 inline constexpr std::chrono::minutes quarantineTime{ 10 };
 /// Requests held at most; the one that came longest ago gives way.
-inline constexpr std::size_t mostQuarantined = 512;
+inline constexpr std::size_t maxQuarantined = 512;
 
 /// Requests held on the platform, each with the time at which that was last written, as far as this daemon saw it.
 using QuarantinedRequests = std::map<RequestFingerprint, SteadyTime>;
--- a/src/portpaddle/daemon/daemon_config.cpp
+++ b/src/portpaddle/daemon/daemon_config.cpp
@@ -30,7 +30,7 @@
                                                          "seeds",
                                                          "maximum_streams" };
 constexpr std::size_t shortestKey = 16;
-constexpr std::size_t mostStreams = 16'384;
+constexpr std::size_t maxStreams = 16'384;
 
 Error invalid(const std::string &source, const std::string &message)
 {
@@ -200,7 +200,7 @@
     config.clusterKey = reader.key("cluster_key");
     config.operatorKey = reader.key("operator_key");
     config.seeds = reader.addresses("seeds");
-    config.maximumStreams = reader.count("maximum_streams", config.maximumStreams, mostStreams);
+    config.maximumStreams = reader.count("maximum_streams", config.maximumStreams, maxStreams);
     if (json.contains("platform") && json["platform"].is_object()) {
         config.embedded = reader.embedded(json["platform"]);
     } else {
--- a/src/portpaddle/fleet/change_feed.cpp
+++ b/src/portpaddle/fleet/change_feed.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Some seconds of changes while half of a thousand daemons restart; whoever is behind that lists everything.
-constexpr std::size_t mostChanges = 4'096;
+constexpr std::size_t maxChanges = 4'096;
 
 } // namespace
 
@@ -37,7 +37,7 @@
         for (const KeyChange &change : changes) {
             changes_.push_back(change);
         }
-        while (changes_.size() > mostChanges) {
+        while (changes_.size() > maxChanges) {
             completeSince_ = std::max(completeSince_, changes_.front().item.revision);
             changes_.pop_front();
         }
--- a/src/portpaddle/fleet/load_aggregation.cpp
+++ b/src/portpaddle/fleet/load_aggregation.cpp
@@ -20,14 +20,14 @@
 // away.
 constexpr std::size_t turnsOfRegions = aggregationShards;
 // Told for each shard and interval at most; the rest are found by their homes.
-constexpr std::size_t mostPartsOfShard = 4 * mostDigestParts;
+constexpr std::size_t maxPartsOfShard = 4 * maxDigestParts;
 
 void addPart(std::vector<Wire::PlacedPart> &parts, const Wire::PlacedPart &part)
 {
     const bool known = std::any_of(parts.begin(), parts.end(), [&part](const Wire::PlacedPart &other) {
         return other.chain() == part.chain() && other.upstream() == part.upstream();
     });
-    if (!known && parts.size() < mostPartsOfShard) {
+    if (!known && parts.size() < maxPartsOfShard) {
         parts.push_back(part);
     }
 }
@@ -155,7 +155,7 @@
 std::vector<Wire::MemberNews> LoadAggregation::nextMembers(std::size_t &window, Wire::DaemonPhase ownPhase, SteadyTime now) const
 {
     std::vector<Wire::MemberNews> result;
-    for (std::size_t count = std::min(mostDigestMembers, members_.size()); count > 0; --count) {
+    for (std::size_t count = std::min(maxDigestMembers, members_.size()); count > 0; --count) {
         const DaemonRecord &member = *members_[window++ % members_.size()];
         if (member.id == ownId_) {
             result.emplace_back(memberKey(member.id), 0, ownPhase);
@@ -199,7 +199,7 @@
         news->region = name;
         news->services = region.services;
         news->placed = takeAll(region.placed);
-        news->placed.resize(std::min(news->placed.size(), mostPassedOnParts));
+        news->placed.resize(std::min(news->placed.size(), maxPassedOnParts));
         news->members = aged(region.members, now - region.at);
         digest.regions.push_back(std::move(news));
         out.push_back({ to, digest });
@@ -229,7 +229,7 @@
     digest.shard = static_cast<std::uint8_t>(shard);
     addWaits(digest);
     digest.placed = takeAll(partsForRegions_.at(shard));
-    digest.placed.resize(std::min(digest.placed.size(), mostDigestParts));
+    digest.placed.resize(std::min(digest.placed.size(), maxDigestParts));
     digest.members = nextMembers(regionsWindow_, digest.phase, now);
     Wire::LoadDigestT header = digest;
     header.placed.clear();
--- a/src/portpaddle/fleet/load_aggregation.h
+++ b/src/portpaddle/fleet/load_aggregation.h
@@ -27,9 +27,9 @@
 /// How often a daemon reports and a gatherer tells sums.
 inline constexpr std::chrono::milliseconds digestInterval{ 100 };
 /// Daemons of which one digest tells; the window moves on from digest to digest.
-inline constexpr std::size_t mostDigestMembers = 48;
+inline constexpr std::size_t maxDigestMembers = 48;
 /// Parts that one digest passes on from another region.
-inline constexpr std::size_t mostPassedOnParts = 8;
+inline constexpr std::size_t maxPassedOnParts = 8;
 
 /// Belongs to one event loop. What is told is a function of the picture of the fleet, the loads and the number of the turn.
 class LoadAggregation
--- a/src/portpaddle/fleet/record_writer.cpp
+++ b/src/portpaddle/fleet/record_writer.cpp
@@ -14,7 +14,7 @@
 constexpr Millis pauseStep{ 50 };
 // After a call that failed: a store that is back is told within half a second.
 constexpr Millis pauseAfterFailure{ 500 };
-constexpr std::size_t mostWaiting = 1'024;
+constexpr std::size_t maxWaiting = 1'024;
 
 } // namespace
 
@@ -36,7 +36,7 @@
 void RecordWriter::write(LeasedRecord record)
 {
     const std::lock_guard lock(mutex_);
-    if (waiting_.size() < mostWaiting || waiting_.contains(record.key)) {
+    if (waiting_.size() < maxWaiting || waiting_.contains(record.key)) {
         std::string key = record.key;
         waiting_[std::move(key)] = std::move(record);
     }
--- a/src/portpaddle/fleet/relayed_store.cpp
+++ b/src/portpaddle/fleet/relayed_store.cpp
@@ -21,7 +21,7 @@
 // So many daemons of a region follow the store. Each change reaches the others through any of them; two may be lost at once.
 constexpr std::size_t directFollowers = 3;
 // Those that are asked after them, when they are lost: they then follow the store themselves.
-constexpr std::size_t mostSources = 6;
+constexpr std::size_t maxSources = 6;
 // Daemons of the own region are one or two hops away.
 constexpr Millis connectTimeout{ 400 };
 // Beyond the time for which an answer waits: a small VM may stand still for some hundred milliseconds.
@@ -58,7 +58,7 @@
     role.direct = std::any_of(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(direct),
                               [&id](const DaemonRecord *daemon) { return daemon->id == id; });
     for (const DaemonRecord *daemon : ranked) {
-        if (daemon->id != id && role.sources.size() < mostSources) {
+        if (daemon->id != id && role.sources.size() < maxSources) {
             role.sources.push_back(daemon->linkAddress);
         }
     }
--- a/src/portpaddle/gateway/caller_request.cpp
+++ b/src/portpaddle/gateway/caller_request.cpp
@@ -26,7 +26,7 @@
 {
     std::vector<PromptPart> parts;
     std::uint64_t chain = 0;
-    while (!list.empty() && parts.size() < mostPromptParts) {
+    while (!list.empty() && parts.size() < maxPromptParts) {
         const std::size_t comma = list.find(',');
         std::string_view entry = list.substr(0, comma);
         list = comma == std::string_view::npos ? std::string_view{} : list.substr(comma + 1);
@@ -50,12 +50,12 @@
     prompt.promptTokens = leadingNumber<unsigned>(counts);
     const std::size_t comma = counts.find(',');
     if (comma != std::string_view::npos) {
-        prompt.mostTokensOut = leadingNumber<unsigned>(counts.substr(comma + 1));
+        prompt.maxTokensOut = leadingNumber<unsigned>(counts.substr(comma + 1));
     }
     const auto hint = message[names.lengthHint];
     prompt.expectedTokensOut = leadingNumber<unsigned>(std::string_view(hint.data(), hint.size()));
-    if (prompt.expectedTokensOut == 0 || prompt.expectedTokensOut > prompt.mostTokensOut) {
-        prompt.expectedTokensOut = prompt.mostTokensOut;
+    if (prompt.expectedTokensOut == 0 || prompt.expectedTokensOut > prompt.maxTokensOut) {
+        prompt.expectedTokensOut = prompt.maxTokensOut;
     }
     const auto parts = message[names.promptParts];
     prompt.parts = decodeParts(std::string_view(parts.data(), parts.size()));
--- a/src/portpaddle/gateway/caller_request.h
+++ b/src/portpaddle/gateway/caller_request.h
@@ -34,7 +34,7 @@
 {
     std::vector<PromptPart> parts;
     unsigned promptTokens = 0;
-    unsigned mostTokensOut = 0;
+    unsigned maxTokensOut = 0;
     /// The caller's estimate, right in the median; the most where there is none.
     unsigned expectedTokensOut = 0;
 
@@ -43,7 +43,7 @@
 };
 
 /// Bounds of the decoded prompt headers; longer lists are cut, which costs cache hits only.
-inline constexpr std::size_t mostPromptParts = 64;
+inline constexpr std::size_t maxPromptParts = 64;
 
 /// A request with its decoded headers.
 struct CallerRequest
--- a/src/portpaddle/gateway/caller_session.cpp
+++ b/src/portpaddle/gateway/caller_session.cpp
@@ -25,7 +25,7 @@
 namespace {
 
 // Bytes of following requests that are taken in while one is served; further ones wait in the kernel.
-constexpr std::size_t mostReadAhead = 16 * 1024;
+constexpr std::size_t maxReadAhead = 16 * 1024;
 constexpr std::size_t readAheadStep = 2 * 1024;
 
 unsigned statusOfReadError(NetError error)
@@ -225,7 +225,7 @@
     request.relayed = peer_ == SessionPeer::Daemon;
     if (request.relayed) {
         request.arrivedAt -= relayedAge(request.message);
-        request.earlierSends = static_cast<unsigned>(relayedNumber(request.message, relaySendsHeader, mostToldSends));
+        request.earlierSends = static_cast<unsigned>(relayedNumber(request.message, relaySendsHeader, maxToldSends));
         const auto organisation = request.message[relayOrganisationHeader];
         request.organisation.assign(organisation.data(), organisation.size());
         request.continues = !request.message[continuesHeader].empty();
@@ -243,7 +243,7 @@
 /// Reads ahead while a request is served: an end or a reset means that the caller left.
 void CallerSession::watchCaller()
 {
-    if (!socket_.is_open() || buffer_.size() >= mostReadAhead) {
+    if (!socket_.is_open() || buffer_.size() >= maxReadAhead) {
         return;
     }
     watching_ = true;
--- a/src/portpaddle/gateway/daemon_registration.cpp
+++ b/src/portpaddle/gateway/daemon_registration.cpp
@@ -24,7 +24,7 @@
 // After failures in a row; a store that is back hears of every daemon within a second and a bit.
 constexpr Millis pauseAfterFailure{ 200 };
 constexpr Millis longestPauseAfterFailure{ 1'000 };
-constexpr unsigned mostDoublings = 3;
+constexpr unsigned maxDoublings = 3;
 
 } // namespace
 
@@ -138,8 +138,7 @@
 void DaemonRegistration::pause(bool well)
 {
     failures_ = well ? 0 : failures_ + 1;
-    const Millis afterFailure
-        = std::min(pauseAfterFailure * (1U << std::min(failures_, mostDoublings)), longestPauseAfterFailure);
+    const Millis afterFailure = std::min(pauseAfterFailure * (1U << std::min(failures_, maxDoublings)), longestPauseAfterFailure);
     // By the clock, not by steps: a VM that was suspended may have lost its lease, and has to say so before anything else.
     const SteadyTime until = BootClock::now() + (well ? betweenRenewals : afterFailure);
     while (BootClock::now() < until && !withdrawn_) {
--- a/src/portpaddle/gateway/entry_choice.cpp
+++ b/src/portpaddle/gateway/entry_choice.cpp
@@ -35,12 +35,12 @@
 /// only connections to daemons that are named again.
 std::vector<std::string> someEntries(std::vector<const DaemonRecord *> daemons, const CallerPlace &place)
 {
-    if (daemons.size() > mostEntries) {
+    if (daemons.size() > maxEntries) {
         const std::uint64_t key = stableHash(place.dataCentre);
         const auto draw = [key](const DaemonRecord *daemon) { return rendezvousScore(key, stableHash(daemon->id), 1); };
         std::sort(daemons.begin(), daemons.end(),
                   [&draw](const DaemonRecord *a, const DaemonRecord *b) { return draw(a) > draw(b); });
-        daemons.resize(mostEntries);
+        daemons.resize(maxEntries);
     }
     std::vector<std::string> addresses;
     addresses.reserve(daemons.size());
--- a/src/portpaddle/gateway/entry_choice.h
+++ b/src/portpaddle/gateway/entry_choice.h
@@ -21,7 +21,7 @@
 };
 
 /// Most addresses that one answer names.
-inline constexpr std::size_t mostEntries = 64;
+inline constexpr std::size_t maxEntries = 64;
 
 /// Entry addresses for a caller, of its own data centre if any daemon lives there, else of its region, else of all.
 std::vector<std::string> entriesFor(const CallerPlace &place, const Gateway &gateway, SteadyTime now);
--- a/src/portpaddle/gateway/exchange_admission.cpp
+++ b/src/portpaddle/gateway/exchange_admission.cpp
@@ -88,7 +88,7 @@
         co_return true;
     }
     const OrganisationLimit &limit = organisation_->limit;
-    const double units = limit.costOf(double(request_.prompt.promptTokens) + request_.prompt.mostTokensOut);
+    const double units = limit.costOf(double(request_.prompt.promptTokens) + request_.prompt.maxTokensOut);
     const std::optional<std::chrono::milliseconds> back
         = gateway_.organisationLimits_.admit(*organisation_, units, BootClock::now(), gateway_.random_);
     if (back) {
--- a/src/portpaddle/gateway/gateway_choice.cpp
+++ b/src/portpaddle/gateway/gateway_choice.cpp
@@ -192,7 +192,7 @@
     facts.urgency = urgencyOfRank(context.rank);
     facts.promptTokens = request.prompt.promptTokens;
     facts.sharedTokens = request.prompt.sharedTokens();
-    facts.memoryTokens = request.prompt.promptTokens + request.prompt.mostTokensOut;
+    facts.memoryTokens = request.prompt.promptTokens + request.prompt.maxTokensOut;
     const double tokensSeen = static_cast<double>(context.eventsSeen) * spec->tokensPerEvent;
     facts.tokensOut = std::max(0.0, request.prompt.expectedTokensOut - tokensSeen);
     facts.begun = context.eventsSeen > 0;
--- a/src/portpaddle/gateway/gateway_news.cpp
+++ b/src/portpaddle/gateway/gateway_news.cpp
@@ -103,7 +103,7 @@
     }
     const PromptFacts none;
     for (const auto &[name, spec] : view_->services->services) {
-        if (digest.services.size() >= mostDigestServices) {
+        if (digest.services.size() >= maxDigestServices) {
             break;
         }
         std::vector<const UpstreamRecord *> records;
--- a/src/portpaddle/gateway/gateway_server.cpp
+++ b/src/portpaddle/gateway/gateway_server.cpp
@@ -37,8 +37,8 @@
     : loop_(loop)
     , gateway_(gateway)
     , config_(std::move(config))
-    , callers_(loop.get_executor(), SessionPeer::Caller, gateway, config_.mostSessions)
-    , daemons_(loop.get_executor(), SessionPeer::Daemon, gateway, config_.mostSessions)
+    , callers_(loop.get_executor(), SessionPeer::Caller, gateway, config_.maxSessions)
+    , daemons_(loop.get_executor(), SessionPeer::Daemon, gateway, config_.maxSessions)
     , datagrams_(loop.get_executor())
     , ticks_(loop.get_executor())
     , remoteTurns_(stableHash(gateway.identity().id))
@@ -60,8 +60,7 @@
 
 Status GatewayServer::serveBeside(const std::string &address, RequestHandler &handler)
 {
-    beside_.push_back(
-        std::make_unique<SessionListener>(loop_.get_executor(), SessionPeer::Caller, handler, config_.mostSessions));
+    beside_.push_back(std::make_unique<SessionListener>(loop_.get_executor(), SessionPeer::Caller, handler, config_.maxSessions));
     return beside_.back()->listen(address);
 }
 
--- a/src/portpaddle/gateway/gateway_server.h
+++ b/src/portpaddle/gateway/gateway_server.h
@@ -25,7 +25,7 @@
     std::string entryAddress;
     /// Daemons reach each other here, by TCP and UDP.
     std::string linkAddress;
-    std::size_t mostSessions = 2'000;
+    std::size_t maxSessions = 2'000;
     /// From the order to stop: callers are taken until then, or for as long as no other daemon of the region serves,
     std::chrono::milliseconds acceptWhileStopping{ 1'300 };
     /// after this only requests that surely end in time: a stream that proves longer than predicted has had most of the stop,
--- a/src/portpaddle/gateway/load_digest.cpp
+++ b/src/portpaddle/gateway/load_digest.cpp
@@ -32,8 +32,8 @@
         if (!result.empty()) {
             digest.services.clear();
         }
-        digest.upstreams = takeFront(shares, mostDigestUpstreams);
-        digest.placed = takeFront(parts, mostDigestParts);
+        digest.upstreams = takeFront(shares, maxDigestUpstreams);
+        digest.placed = takeFront(parts, maxDigestParts);
         result.push_back(std::move(digest));
     } while (!shares.empty() || !parts.empty());
     return result;
@@ -57,11 +57,11 @@
     }
     Wire::LoadDigestT digest;
     flatbuffers::GetRoot<Wire::LoadDigest>(bytes.data())->UnPackTo(&digest);
-    const bool bounded = digest.upstreams.size() <= mostDigestUpstreams && digest.placed.size() <= mostDigestParts
-        && digest.services.size() <= mostDigestServices && digest.limit_counts.size() <= mostDigestLimits
-        && digest.limit_grants.size() <= mostDigestLimits && digest.limit_demands.size() <= mostDigestLimits
-        && digest.ended_under.size() <= mostDigestCrashes && digest.quarantined.size() <= mostDigestCrashes
-        && digest.upstream_limits.size() <= mostDigestUpstreamLimits;
+    const bool bounded = digest.upstreams.size() <= maxDigestUpstreams && digest.placed.size() <= maxDigestParts
+        && digest.services.size() <= maxDigestServices && digest.limit_counts.size() <= maxDigestLimits
+        && digest.limit_grants.size() <= maxDigestLimits && digest.limit_demands.size() <= maxDigestLimits
+        && digest.ended_under.size() <= maxDigestCrashes && digest.quarantined.size() <= maxDigestCrashes
+        && digest.upstream_limits.size() <= maxDigestUpstreamLimits;
     if (!bounded) {
         return Error{ ErrorCode::BadRequest, "load digest has too many entries", RunState::NotRun, {} };
     }
--- a/src/portpaddle/gateway/load_digest.h
+++ b/src/portpaddle/gateway/load_digest.h
@@ -17,13 +17,13 @@
 /// Datagrams stay below the usual path MTU.
 inline constexpr std::size_t largestLoadDatagram = 1'400;
 /// Bounds of a digest; with them the largest one fits the datagram.
-inline constexpr std::size_t mostDigestUpstreams = 32;
-inline constexpr std::size_t mostDigestParts = 24;
-inline constexpr std::size_t mostDigestServices = 4;
+inline constexpr std::size_t maxDigestUpstreams = 32;
+inline constexpr std::size_t maxDigestParts = 24;
+inline constexpr std::size_t maxDigestServices = 4;
 /// Requests in a digest that tells of nothing else.
-inline constexpr std::size_t mostDigestCrashes = 40;
+inline constexpr std::size_t maxDigestCrashes = 40;
 /// Upstreams in a digest that tells of nothing else.
-inline constexpr std::size_t mostDigestUpstreamLimits = 40;
+inline constexpr std::size_t maxDigestUpstreamLimits = 40;
 
 /// As many digests as it takes to tell everything, each to be sent in a datagram of its own. @p header has the sender, the
 /// sequence of the first digest, and what only that one tells.
--- a/src/portpaddle/gateway/peer_shares.cpp
+++ b/src/portpaddle/gateway/peer_shares.cpp
@@ -12,7 +12,7 @@
 // Digests come several times a second; a daemon that was silent for this long is not counted any more.
 constexpr std::chrono::milliseconds shareAge{ 1'500 };
 // Read between two shares of one daemon at most; more means that it started anew.
-constexpr std::uint32_t mostStepTokens = 50'000'000;
+constexpr std::uint32_t maxStepTokens = 50'000'000;
 
 } // namespace
 
@@ -48,7 +48,7 @@
     entry = { share, readTokens, now, true };
     sum_ += share;
     freshUntil_ = std::min(freshUntil_, now + shareAge);
-    return added || step >= mostStepTokens ? 0 : step;
+    return added || step >= maxStepTokens ? 0 : step;
 }
 
 const LoadShare &PeerShares::sum(SteadyTime now) const
--- a/src/portpaddle/gateway/policy_settings.cpp
+++ b/src/portpaddle/gateway/policy_settings.cpp
@@ -29,29 +29,29 @@
 };
 
 // Delays of a minute outweigh everything; multiples of a thousand do as well.
-constexpr double mostMs = 60'000;
-constexpr double mostMultiple = 1'000;
+constexpr double maxMs = 60'000;
+constexpr double maxMultiple = 1'000;
 
 constexpr std::array numbers{
-    NumberSetting{ "away_ms", &PlacementWeights::awayMs, mostMs,
+    NumberSetting{ "away_ms", &PlacementWeights::awayMs, maxMs,
                    "What sending a request to another region costs besides its time, as milliseconds of delay." },
-    NumberSetting{ "connect_ms", &PlacementWeights::connectMs, mostMs,
+    NumberSetting{ "connect_ms", &PlacementWeights::connectMs, maxMs,
                    "What a new connection costs its upstream, as milliseconds of delay." },
-    NumberSetting{ "failure_ms", &PlacementWeights::failureMs, mostMs, "What a failed answer costs, as milliseconds of delay." },
-    NumberSetting{ "fetching_share", &PlacementWeights::fetchingShare, mostMultiple,
+    NumberSetting{ "failure_ms", &PlacementWeights::failureMs, maxMs, "What a failed answer costs, as milliseconds of delay." },
+    NumberSetting{ "fetching_share", &PlacementWeights::fetchingShare, maxMultiple,
                    "What fetching kept parts of a prompt from another engine costs besides its time, as a multiple of it." },
-    NumberSetting{ "first_token_bound", &PlacementWeights::firstTokenBound, mostMultiple,
+    NumberSetting{ "first_token_bound", &PlacementWeights::firstTokenBound, maxMultiple,
                    "A request whose first token is predicted beyond this multiple of its target is refused at once." },
-    NumberSetting{ "late_ms", &PlacementWeights::lateMs, mostMs, "What missing the target costs, as milliseconds of delay." },
-    NumberSetting{ "reading_per_running", &PlacementWeights::readingPerRunning, mostMultiple,
+    NumberSetting{ "late_ms", &PlacementWeights::lateMs, maxMs, "What missing the target costs, as milliseconds of delay." },
+    NumberSetting{ "reading_per_running", &PlacementWeights::readingPerRunning, maxMultiple,
                    "What reading a prompt costs each request that runs there, as a multiple of the time it takes." },
-    NumberSetting{ "rereading_share", &PlacementWeights::rereadingShare, mostMultiple,
+    NumberSetting{ "rereading_share", &PlacementWeights::rereadingShare, maxMultiple,
                    "What reading shared parts of a prompt again costs besides its time, as a multiple of it." },
-    NumberSetting{ "spread_ms", &PlacementWeights::spreadMs, mostMs,
+    NumberSetting{ "spread_ms", &PlacementWeights::spreadMs, maxMs,
                    "By how much scores are blurred for each other daemon of the region, as milliseconds of delay." },
-    NumberSetting{ "streaming_share", &PlacementWeights::streamingShare, mostMultiple,
+    NumberSetting{ "streaming_share", &PlacementWeights::streamingShare, maxMultiple,
                    "What a stream costs for the time that it takes after its first token, as a multiple of it." },
-    NumberSetting{ "whole_margin", &PlacementWeights::wholeMargin, mostMultiple,
+    NumberSetting{ "whole_margin", &PlacementWeights::wholeMargin, maxMultiple,
                    "A stream is refused at once where, its tokens taking so many times longer than predicted, it would not end "
                    "before its deadline." },
 };
--- a/src/portpaddle/gateway/prefix_memory.cpp
+++ b/src/portpaddle/gateway/prefix_memory.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // A few hundred kilobytes for each engine; older parts have left its memory long before.
-constexpr std::size_t mostRememberedParts = 8'192;
+constexpr std::size_t maxRememberedParts = 8'192;
 
 } // namespace
 
@@ -25,7 +25,7 @@
     const auto [entry, added] = usedAt_.try_emplace(chainHash, clock_);
     const double age = added ? std::numeric_limits<double>::infinity() : clock_ - entry->second;
     entry->second = clock_;
-    if (usedAt_.size() > mostRememberedParts) {
+    if (usedAt_.size() > maxRememberedParts) {
         trim();
     }
     return age;
--- a/src/portpaddle/gateway/region_table.cpp
+++ b/src/portpaddle/gateway/region_table.cpp
@@ -32,7 +32,7 @@
 // A daemon that vanished may be back within this time and spend its share of a bound at once.
 constexpr std::chrono::milliseconds rememberAge{ 20'000 };
 // Ten times the daemons of the largest fleet planned; datagrams in the name of others are dropped.
-constexpr std::size_t mostPeers = 4'096;
+constexpr std::size_t maxPeers = 4'096;
 
 } // namespace
 
@@ -48,7 +48,7 @@
 
 void RegionTable::applyDigest(const Wire::LoadDigestT &digest, SteadyTime now)
 {
-    if (peers_.size() >= mostPeers && !peers_.contains(digest.daemon)) {
+    if (peers_.size() >= maxPeers && !peers_.contains(digest.daemon)) {
         return;
     }
     Peer &peer = peers_[digest.daemon];
--- a/src/portpaddle/gateway/session_listener.cpp
+++ b/src/portpaddle/gateway/session_listener.cpp
@@ -21,8 +21,8 @@
 
 } // namespace
 
-SessionListener::SessionListener(Executor executor, SessionPeer peer, RequestHandler &handler, std::size_t mostSessions)
-    : executor_(executor), peer_(peer), handler_(handler), mostSessions_(mostSessions), acceptor_(executor), pause_(executor)
+SessionListener::SessionListener(Executor executor, SessionPeer peer, RequestHandler &handler, std::size_t maxSessions)
+    : executor_(executor), peer_(peer), handler_(handler), maxSessions_(maxSessions), acceptor_(executor), pause_(executor)
 {
 }
 
@@ -73,7 +73,7 @@
             return;
         }
         // Beyond the bound the connection is closed at once: callers try another daemon.
-        if (sessions_.size() < mostSessions_ || open() < mostSessions_) {
+        if (sessions_.size() < maxSessions_ || open() < maxSessions_) {
             const auto session = std::make_shared<CallerSession>(std::move(socket), peer_, handler_);
             sessions_.push_back(session);
             session->start();
--- a/src/portpaddle/gateway/session_listener.h
+++ b/src/portpaddle/gateway/session_listener.h
@@ -19,7 +19,7 @@
 class SessionListener
 {
 public:
-    SessionListener(Executor executor, SessionPeer peer, RequestHandler &handler, std::size_t mostSessions);
+    SessionListener(Executor executor, SessionPeer peer, RequestHandler &handler, std::size_t maxSessions);
 
     /// Begins to accept on @p address (IP:PORT).
     Status listen(const std::string &address);
@@ -40,7 +40,7 @@
     Executor executor_;
     SessionPeer peer_;
     RequestHandler &handler_;
-    std::size_t mostSessions_;
+    std::size_t maxSessions_;
     Acceptor acceptor_;
     SteadyTimer pause_;
     std::list<std::weak_ptr<CallerSession>> sessions_;
--- a/src/portpaddle/gateway/state_exchange.cpp
+++ b/src/portpaddle/gateway/state_exchange.cpp
@@ -17,7 +17,7 @@
 
 // Peers are one or two hops away; one that takes longer hangs or is cut off.
 constexpr Millis peerTimeout{ 400 };
-constexpr std::size_t mostPeersAsked = 3;
+constexpr std::size_t maxPeersAsked = 3;
 // What is older was never confirmed.
 constexpr std::int64_t longestAgeMs = 3'600'000;
 
@@ -119,7 +119,7 @@
 {
     std::size_t asked = 0;
     for (const std::string &address : peers_()) {
-        if (asked++ == mostPeersAsked) {
+        if (asked++ == maxPeersAsked) {
             break;
         }
         Result<std::vector<KeyValue>> items = askPeer(address);
--- a/src/portpaddle/gateway/store_watcher.cpp
+++ b/src/portpaddle/gateway/store_watcher.cpp
@@ -15,7 +15,7 @@
 // After a failure; doubled up to the longest. A store that is back must be noticed within a second.
 constexpr Millis firstPause{ 100 };
 constexpr Millis longestPause{ 400 };
-constexpr unsigned mostDoublings = 4;
+constexpr unsigned maxDoublings = 4;
 // Changes come in bursts and each waiting call is paid for: the next one takes what gathered meanwhile. Short enough where
 // upstreams that leave and configurations allow three seconds.
 constexpr Millis usualCoalescingDelay{ 500 };
@@ -162,7 +162,7 @@
         tellFeed(false);
         listener_.onStoreUnavailable(error);
     }
-    const Millis pause = std::min(longestPause, firstPause * (1U << std::min(failures_, mostDoublings)));
+    const Millis pause = std::min(longestPause, firstPause * (1U << std::min(failures_, maxDoublings)));
     ++failures_;
     askPeers();
     std::this_thread::sleep_for(pause);
--- a/src/portpaddle/gateway/upstream_attempt.cpp
+++ b/src/portpaddle/gateway/upstream_attempt.cpp
@@ -21,11 +21,11 @@
 
 namespace {
 
-constexpr std::uint32_t mostAnswerHeaderBytes = 64 * 1024;
+constexpr std::uint32_t maxAnswerHeaderBytes = 64 * 1024;
 // Answers that are not streams are held until they are whole, so that a torn one can be asked for again.
-constexpr std::size_t mostWholeBytes = 8 * 1024 * 1024;
+constexpr std::size_t maxWholeBytes = 8 * 1024 * 1024;
 // Of a surplus or refused answer that is read only to be dropped.
-constexpr std::size_t mostDroppedBytes = 64 * 1024;
+constexpr std::size_t maxDroppedBytes = 64 * 1024;
 // A connection is given up this long before the upstream may close it.
 constexpr std::chrono::milliseconds keepMargin{ 1'000 };
 
@@ -56,7 +56,7 @@
     const std::string_view text = viewOf(fields[relaySendsHeader]);
     unsigned sends = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), sends);
-    return parsed.ec == std::errc{} && sends <= mostToldSends ? std::optional(sends) : std::nullopt;
+    return parsed.ec == std::errc{} && sends <= maxToldSends ? std::optional(sends) : std::nullopt;
 }
 
 /// The time that an answer's Keep-Alive gives, less a margin.
@@ -255,7 +255,7 @@
 {
     while (true) {
         parser.emplace();
-        parser->header_limit(mostAnswerHeaderBytes);
+        parser->header_limit(maxAnswerHeaderBytes);
         parser->body_limit(std::numeric_limits<std::uint64_t>::max());
         if (request_.message.method() == http::verb::head) {
             parser->skip(true);
@@ -290,7 +290,7 @@
         co_await http::async_read_some(connection_->socket, connection_->buffer, parser, awaitingInto(error));
         body.append(parser.get().body());
         parser.get().body().clear();
-        if (error || body.size() > mostDroppedBytes) {
+        if (error || body.size() > maxDroppedBytes) {
             co_return false;
         }
     }
@@ -312,7 +312,7 @@
         if (error) {
             co_return brokenConnection("answer broke off: " + error.message());
         }
-        if (parser.get().body().size() > mostWholeBytes) {
+        if (parser.get().body().size() > maxWholeBytes) {
             co_return failure(AttemptEnd::Broken, ErrorCode::UpstreamFailed, "answer is too large");
         }
     }
--- a/src/portpaddle/gateway/upstream_attempt.h
+++ b/src/portpaddle/gateway/upstream_attempt.h
@@ -29,7 +29,7 @@
 /// daemon.
 inline constexpr const char *relaySendsHeader = "X-Portpaddle-Sends";
 /// Routes allow a few upstreams for one request; a larger number is not believed.
-inline constexpr unsigned mostToldSends = 100;
+inline constexpr unsigned maxToldSends = 100;
 /// Between daemons: the organisation whose key the first daemon has seen.
 inline constexpr const char *relayOrganisationHeader = "X-Portpaddle-Organisation";
 
--- a/src/portpaddle/gateway/upstream_connection.h
+++ b/src/portpaddle/gateway/upstream_connection.h
@@ -19,7 +19,7 @@
 inline constexpr std::chrono::milliseconds defaultKeep{ 4'000 };
 
 /// Bytes of one answer that may be buffered unparsed.
-inline constexpr std::size_t mostUnparsedBytes = 128 * 1024;
+inline constexpr std::size_t maxUnparsedBytes = 128 * 1024;
 
 /// One connection; it serves one request at a time.
 struct UpstreamConnection
@@ -31,7 +31,7 @@
     bool quiet();
 
     Socket socket;
-    boost::beast::flat_buffer buffer{ mostUnparsedBytes };
+    boost::beast::flat_buffer buffer{ maxUnparsedBytes };
     /// The peer may close it after this.
     SteadyTime usableUntil{};
     /// It has served a request before.
--- a/src/portpaddle/gateway/upstream_loads.cpp
+++ b/src/portpaddle/gateway/upstream_loads.cpp
@@ -29,7 +29,7 @@
 // A part that is used again is told again when this share of the memory has been read meanwhile.
 constexpr double toldAgainShare = 0.1;
 // Told in one round at most; the rest are found by their homes.
-constexpr std::size_t mostToldParts = 2 * mostDigestParts;
+constexpr std::size_t maxToldParts = 2 * maxDigestParts;
 // Units of tokens in digests, see wire/load.fbs.
 constexpr double tokensUnit = 64;
 constexpr double memoryUnit = 256;
@@ -147,7 +147,7 @@
     const double added = std::max(0.0, prompt.promptTokens - kept);
     const double notRead = placement.fetches ? std::max(kept, placement.keptTokens) : kept;
     ticket.pendingTokens = std::max(0.0, prompt.promptTokens - notRead);
-    ticket.memoryTokens = added + prompt.mostTokensOut;
+    ticket.memoryTokens = added + prompt.maxTokensOut;
     // Fetched parts push older ones out of the memory as those do that are read.
     state.readTokens += added;
     state.prefixes.advance(added);
@@ -180,7 +180,7 @@
         }
         for (std::deque<Wire::PlacedPart> &queue : placed_) {
             queue.emplace_back(part.chainHash, upstreamKey(upstream), part.tokens);
-            if (queue.size() > mostToldParts) {
+            if (queue.size() > maxToldParts) {
                 queue.pop_front();
             }
         }
--- a/src/portpaddle/limits/limit_digest.cpp
+++ b/src/portpaddle/limits/limit_digest.cpp
@@ -22,7 +22,7 @@
 template<typename Entry>
 void moveSome(std::vector<Entry> &from, std::vector<Entry> &to)
 {
-    const auto count = static_cast<std::ptrdiff_t>(std::min(mostDigestLimits, from.size()));
+    const auto count = static_cast<std::ptrdiff_t>(std::min(maxDigestLimits, from.size()));
     to.assign(std::prev(from.end(), count), from.end());
     from.erase(std::prev(from.end(), count), from.end());
 }
--- a/src/portpaddle/limits/limit_digest.h
+++ b/src/portpaddle/limits/limit_digest.h
@@ -12,7 +12,7 @@
 namespace Portpaddle {
 
 /// Entries of each kind that one digest holds; larger ones are refused.
-inline constexpr std::size_t mostDigestLimits = 24;
+inline constexpr std::size_t maxDigestLimits = 24;
 
 /// What one daemon tells of limits at one time.
 struct LimitDigest
--- a/src/portpaddle/limits/organisations.cpp
+++ b/src/portpaddle/limits/organisations.cpp
@@ -19,7 +19,7 @@
 constexpr NameTable<LimitUnit, 2> unitNames{ { "requests", "tokens" } };
 constexpr std::string_view scheme = "Bearer ";
 // Callers write the counts; engines' memories hold a tenth of this.
-constexpr double mostTokensCounted = 10'000'000;
+constexpr double maxTokensCounted = 10'000'000;
 
 /// A secret of this process, so that nobody outside can choose keys whose digests fall together.
 const std::string &digestSecret()
@@ -64,7 +64,7 @@
     if (unit == LimitUnit::Requests) {
         return 1;
     }
-    return tokens > 0 ? std::min(tokens, mostTokensCounted) : plainTokens;
+    return tokens > 0 ? std::min(tokens, maxTokensCounted) : plainTokens;
 }
 
 bool isHome(const std::vector<std::string> &homes, std::string_view region)
@@ -79,7 +79,7 @@
 
 void OrganisationTable::add(Organisation organisation, const std::vector<std::string> &keys)
 {
-    if (all_.size() >= mostOrganisations || byKey_.size() + keys.size() > mostKeys) {
+    if (all_.size() >= maxOrganisations || byKey_.size() + keys.size() > maxKeys) {
         throw std::invalid_argument("too many organisations or keys");
     }
     all_.push_back(std::make_shared<const Organisation>(std::move(organisation)));
--- a/src/portpaddle/limits/organisations.h
+++ b/src/portpaddle/limits/organisations.h
@@ -53,8 +53,8 @@
 };
 
 /// Bounds of what one configuration may hold; more is refused as a whole.
-inline constexpr std::size_t mostOrganisations = 10'000;
-inline constexpr std::size_t mostKeys = 100'000;
+inline constexpr std::size_t maxOrganisations = 10'000;
+inline constexpr std::size_t maxKeys = 100'000;
 inline constexpr std::size_t longestKey = 512;
 
 /// Filled once, read by all afterwards. Keeps keyed digests in place of keys.
--- a/src/portpaddle/upstream_limits/limit_pace.cpp
+++ b/src/portpaddle/upstream_limits/limit_pace.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // A request that comes a little late must not slow down the next one; two at once would make bursts of many daemons add up.
-constexpr double mostTokens = 1.5;
+constexpr double maxTokens = 1.5;
 
 } // namespace
 
@@ -21,7 +21,7 @@
 
 void LimitPace::setRate(double perSecond, SteadyTime now)
 {
-    tokens_ = std::min(mostTokens, tokens_ + perSecond_ * inSeconds(now - filledAt_));
+    tokens_ = std::min(maxTokens, tokens_ + perSecond_ * inSeconds(now - filledAt_));
     filledAt_ = now;
     perSecond_ = perSecond;
     // Whoever has no share any more starts from nothing when it has one again: others spent it meanwhile.
--- a/src/portpaddle/upstream_limits/limit_reading.cpp
+++ b/src/portpaddle/upstream_limits/limit_reading.cpp
@@ -30,7 +30,7 @@
 double boundedRate(double perSecond)
 {
     const bool isRate = std::isfinite(perSecond) && perSecond >= 0;
-    return isRate ? std::clamp(perSecond, leastNamedRate, mostNamedRate) : std::numeric_limits<double>::quiet_NaN();
+    return isRate ? std::clamp(perSecond, leastNamedRate, maxNamedRate) : std::numeric_limits<double>::quiet_NaN();
 }
 
 LimitReading readLimit(const boost::beast::http::fields &head, const std::string &name)
--- a/src/portpaddle/upstream_limits/limit_reading.h
+++ b/src/portpaddle/upstream_limits/limit_reading.h
@@ -14,7 +14,7 @@
 /// A smaller rate is taken for this one: an upstream that is sent nothing can never say that its need is over.
 inline constexpr double leastNamedRate = 0.05;
 /// A larger rate is taken for this one.
-inline constexpr double mostNamedRate = 1e6;
+inline constexpr double maxNamedRate = 1e6;
 
 /// What the head of an answer says.
 enum class LimitKind { Absent, Named, Unreadable };
--- a/src/portpaddle/upstream_limits/upstream_limits.cpp
+++ b/src/portpaddle/upstream_limits/upstream_limits.cpp
@@ -283,7 +283,7 @@
             continue;
         }
         digest.upstream_limits.push_back(toWire(key, limit, now));
-        if (digest.upstream_limits.size() == mostDigestUpstreamLimits) {
+        if (digest.upstream_limits.size() == maxDigestUpstreamLimits) {
             send();
         }
     }
--- a/src/standins/engine_standin.cpp
+++ b/src/standins/engine_standin.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t prefixBytes = 2048;
 constexpr std::size_t bytesPerToken = 4;
 constexpr unsigned usualTokens = 16;
-constexpr unsigned mostTokens = 100'000;
+constexpr unsigned maxTokens = 100'000;
 constexpr std::size_t engineThreads = 1024;
 constexpr std::size_t largestBody = 16 * 1024 * 1024;
 
@@ -186,7 +186,7 @@
     job->id = request.get_header_value("X-Request-Id");
     job->model = body.value("model", "");
     job->prompt = promptOf(body);
-    job->end = std::min(mostTokens, body.value("max_tokens", usualTokens));
+    job->end = std::min(maxTokens, body.value("max_tokens", usualTokens));
     const std::string resume = request.get_header_value("X-Resume-From-Token");
     job->next = resume.empty() ? 0 : static_cast<unsigned>(std::stoul(resume));
     prefill(*job);
--- a/tests/gateway/crash_guard_tests.cpp
+++ b/tests/gateway/crash_guard_tests.cpp
@@ -166,7 +166,7 @@
 {
     Quarantine quarantine;
     CHECK(quarantine.hold(bad, start));
-    for (std::uint64_t index = 0; index < 2 * mostQuarantined; ++index) {
+    for (std::uint64_t index = 0; index < 2 * maxQuarantined; ++index) {
         const SteadyTime now = start + std::chrono::milliseconds(index);
         quarantine.hold({ 100 + index, 0 }, now);
         CHECK(quarantine.isQuarantined(bad, now));
--- a/tests/gateway/fleet_view_tests.cpp
+++ b/tests/gateway/fleet_view_tests.cpp
@@ -220,7 +220,7 @@
         const CallerPlace caller{ "lost", "lost-" + std::to_string(place) };
         const SteadyTime asked = BootClock::now();
         const std::vector<std::string> found = entriesFor(caller, gateway, asked);
-        CHECK(found.size() == mostEntries);
+        CHECK(found.size() == maxEntries);
         CHECK(entriesFor(caller, gateway, asked) == found);
         named.insert(found.begin(), found.end());
     }
@@ -285,9 +285,9 @@
     Wire::LoadDigestT digest;
     digest.daemon = std::string(60, 'd');
     digest.region = std::string(40, 'r');
-    digest.upstreams.resize(mostDigestUpstreams);
-    digest.placed.resize(mostDigestParts);
-    digest.services.resize(mostDigestServices);
+    digest.upstreams.resize(maxDigestUpstreams);
+    digest.placed.resize(maxDigestParts);
+    digest.services.resize(maxDigestServices);
     CHECK(encodeDigest(digest).size() <= largestLoadDatagram);
 }
 
@@ -297,8 +297,8 @@
     header.daemon = "d";
     header.sequence = 5;
     header.services.resize(1);
-    const std::vector<Wire::UpstreamShare> shares(mostDigestUpstreams * 2 + 1);
-    const std::vector<Wire::PlacedPart> parts(mostDigestParts + 1);
+    const std::vector<Wire::UpstreamShare> shares(maxDigestUpstreams * 2 + 1);
+    const std::vector<Wire::PlacedPart> parts(maxDigestParts + 1);
     const auto digests = splitIntoDigests(header, shares, parts);
     REQUIRE(digests.size() == 3);
     std::size_t upstreams = 0;
@@ -341,6 +341,6 @@
         (void)decodeDigest(bytes);
     });
     Wire::LoadDigestT digest;
-    digest.placed.resize(mostDigestParts + 1);
+    digest.placed.resize(maxDigestParts + 1);
     CHECK_FALSE(isOk(decodeDigest(encodeDigest(digest))));
 }
--- a/tests/gateway/limit_table_tests.cpp
+++ b/tests/gateway/limit_table_tests.cpp
@@ -56,7 +56,7 @@
     CHECK(read({ "40" }).perSecond == 40);
     // One that takes nothing must be able to say that it takes something again.
     CHECK(read({ "0" }).perSecond == leastNamedRate);
-    CHECK(read({ "1e300" }).perSecond == mostNamedRate);
+    CHECK(read({ "1e300" }).perSecond == maxNamedRate);
 }
 
 TEST_CASE("Limit reading, texts that are no rate, are unreadable")
@@ -79,8 +79,7 @@
 {
     rc::check([](const std::string &text) {
         const LimitReading reading = read({ text.c_str() });
-        RC_ASSERT(reading.word != LimitKind::Named
-                  || (reading.perSecond >= leastNamedRate && reading.perSecond <= mostNamedRate));
+        RC_ASSERT(reading.word != LimitKind::Named || (reading.perSecond >= leastNamedRate && reading.perSecond <= maxNamedRate));
     });
 }
 
--- a/tests/gateway/notice_fleet_tests.cpp
+++ b/tests/gateway/notice_fleet_tests.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // In each time that an upstream asks for, of one daemon.
-constexpr std::size_t mostAllowed = 2;
+constexpr std::size_t maxAllowed = 2;
 
 /// Two of four upstreams leave, and @p shortOf are short for a while; the entries say nothing of either.
 void play(NoticeFleet &fleet, unsigned shortOf)
@@ -40,7 +40,7 @@
                 NoticeFleet fleet(scenario, NoticeWay::Own, seed);
                 play(fleet, shortOf);
                 CHECK(fleet.afterLeaving() == 0);
-                CHECK(fleet.mostWithinTime() <= mostAllowed);
+                CHECK(fleet.mostWithinTime() <= maxAllowed);
                 CHECK(fleet.servedPart() >= (shortOf < 4 ? 0.99 : 0.8));
             }
         }
--- a/tests/gateway/organisation_limits_tests.cpp
+++ b/tests/gateway/organisation_limits_tests.cpp
@@ -123,7 +123,7 @@
     Wire::LoadDigestT header;
     header.daemon = "a-daemon-with-a-rather-long-name-17";
     header.region = "a-region-with-a-long-name";
-    header.services.resize(mostDigestServices);
+    header.services.resize(maxDigestServices);
     const std::vector<Wire::UpstreamShare> shares(50);
     const std::vector<Wire::PlacedPart> parts(30);
     for (const std::size_t count : { 0U, 1U, 24U, 100U }) {
@@ -152,7 +152,7 @@
 TEST_CASE("Load digest, more limits than one may hold, is refused")
 {
     Wire::LoadDigestT digest;
-    digest.limit_counts.resize(mostDigestLimits + 1);
+    digest.limit_counts.resize(maxDigestLimits + 1);
     CHECK_FALSE(isOk(decodeDigest(encodeDigest(digest))));
 }
 
--- a/tests/gateway/placement_tests.cpp
+++ b/tests/gateway/placement_tests.cpp
@@ -60,7 +60,7 @@
     PromptFacts prompt;
     prompt.parts = { { topic, shared }, { topic * 31 + own, own } };
     prompt.promptTokens = shared + own;
-    prompt.mostTokensOut = 400;
+    prompt.maxTokensOut = 400;
     return prompt;
 }
 
--- a/tests/support/notice_fleet.cpp
+++ b/tests/support/notice_fleet.cpp
@@ -32,7 +32,7 @@
 constexpr double longestLapse = 3;
 // Repeats for each request, and at once at most.
 constexpr double repeatRatio = 0.2;
-constexpr double mostRepeats = 10;
+constexpr double maxRepeats = 10;
 constexpr double returnSpread = 0.5;
 
 } // namespace
@@ -216,7 +216,7 @@
     request.sends = 0;
     request.tried.clear();
     Daemon &daemon = *daemons_[request.daemon];
-    daemon.repeats = std::min(mostRepeats, daemon.repeats + repeatRatio);
+    daemon.repeats = std::min(maxRepeats, daemon.repeats + repeatRatio);
     if (scenario_.troubles.lapse > 0) {
         publish(daemon);
     }
--- a/tests/support/retry_fleet.cpp
+++ b/tests/support/retry_fleet.cpp
@@ -23,7 +23,7 @@
 constexpr auto listInterval = 200ms;
 constexpr double swingSeconds = 5;
 // Requests a second of which at most one comes in a step.
-constexpr double mostInStep = 10;
+constexpr double maxInStep = 10;
 // Of a registration at the store, after its daemon has gone.
 constexpr auto lease = 5s;
 constexpr std::chrono::seconds longestCut{ 40 };
@@ -236,8 +236,8 @@
     }
     daemon.account->setPart({ ratio, fixedPartOf(daemon), daemon.rounding, window }, now_);
     // Several a step where callers are many.
-    for (double rate = rateOf(daemon); rate > 0; rate -= mostInStep) {
-        if (happens(std::min(rate, mostInStep))) {
+    for (double rate = rateOf(daemon); rate > 0; rate -= maxInStep) {
+        if (happens(std::min(rate, maxInStep))) {
             take(daemon);
         }
     }
