--- a/src/portpaddle/control/membership_controller.cpp
+++ b/src/portpaddle/control/membership_controller.cpp
@@ -156,7 +156,7 @@
 
 void MembershipController::receiveAll()
 {
-    std::array<char, largestDatagram + 1> buffer{};
+    std::array<char, maxDatagramBytes + 1> buffer{};
     for (int count = 0; count < largestBatch; ++count) {
         sockaddr_in native{};
         socklen_t length = sizeof native;
@@ -168,10 +168,10 @@
         std::vector<Datagram> out;
         {
             const std::lock_guard lock(mutex_);
-            const std::uint64_t rejectedBefore = node_->rejected();
+            const std::uint64_t rejectedBefore = node_->rejectedDatagrams();
             out = node_->receive(fromNative(native), std::string_view(buffer.data(), static_cast<std::size_t>(size)),
                                  parts_.clock.monotonic());
-            parts_.metrics.count(Counter::PeersRejected, node_->rejected() - rejectedBefore);
+            parts_.metrics.count(Counter::PeersRejected, node_->rejectedDatagrams() - rejectedBefore);
         }
         send(out);
     }
@@ -261,7 +261,7 @@
 {
     takeDigests(news.upstreams);
     if (news.settingsVersion > 0) {
-        parts_.onNewerSettings(news.settingsHolder, news.settingsVersion);
+        parts_.onNewerSettings(news.settingsPeer, news.settingsVersion);
     }
     std::shared_ptr<MemberTable> table;
     std::shared_ptr<SummaryTable> summaries;
--- a/src/portpaddle/membership/fleet_figures.cpp
+++ b/src/portpaddle/membership/fleet_figures.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// A lower sequence is believed after this silence: its source was restarted.
-constexpr Millis sequenceMemory{ 10'000 };
-/// Demand that was not confirmed for this long while its source can be heard is over.
-constexpr Millis demandMemory{ 30'000 };
+/// A lower sequence is accepted if the stored figure is this much older than the received one: its source was restarted.
+constexpr Millis sequenceRetention{ 10'000 };
+/// Demand that was not renewed for this long while its source is reachable has ended.
+constexpr Millis demandRetention{ 30'000 };
 constexpr std::string_view dataCentrePrefix = "dc:";
 
 std::string demandKey(const DemandReport &report)
@@ -18,7 +18,7 @@
     return report.source + '/' + report.organisation;
 }
 
-bool isTotal(const std::string &source)
+bool isDataCentreTotal(const std::string &source)
 {
     return source.compare(0, dataCentrePrefix.size(), dataCentrePrefix) == 0;
 }
@@ -30,36 +30,36 @@
 {
 }
 
-bool FleetFigures::take(const UpstreamDigest &digest)
+bool FleetFigures::storeIfNewer(const UpstreamDigest &digest)
 {
     SeenDigest &seen = digests_[digest.key];
-    const bool remembered = digest.observedAt < seen.observedAt + sequenceMemory;
-    if (remembered && digest.sequence <= seen.sequence) {
+    const bool isRetained = digest.observedAt < seen.observedAt + sequenceRetention;
+    if (isRetained && digest.sequence <= seen.sequence) {
         return false;
     }
     seen = SeenDigest{ digest.sequence, digest.observedAt };
     return true;
 }
 
-bool FleetFigures::take(const DataCentreSummary &summary)
+bool FleetFigures::storeIfNewer(const DataCentreSummary &summary)
 {
     DataCentreSummary &known = summaries_[summary.dataCentre];
-    const bool remembered = summary.observedAt < known.observedAt + sequenceMemory;
-    if (!known.dataCentre.empty() && remembered && summary.sequence <= known.sequence) {
+    const bool isRetained = summary.observedAt < known.observedAt + sequenceRetention;
+    if (!known.dataCentre.empty() && isRetained && summary.sequence <= known.sequence) {
         return false;
     }
     known = summary;
     return true;
 }
 
-bool FleetFigures::take(const DemandReport &report, Millis now)
+bool FleetFigures::storeIfNewer(const DemandReport &report, Millis now)
 {
-    HeardDemand &known = demands_[demandKey(report)];
-    const bool remembered = now < known.heardAt + demandMemory;
-    if (remembered && report.sequence <= known.report.sequence) {
+    ReceivedDemand &known = demands_[demandKey(report)];
+    const bool isRetained = now < known.receivedAt + demandRetention;
+    if (isRetained && report.sequence <= known.report.sequence) {
         return false;
     }
-    known = HeardDemand{ report, now };
+    known = ReceivedDemand{ report, now };
     return true;
 }
 
@@ -82,18 +82,18 @@
     return DemandReport{ daemon_, own.organisation, sequence, own.requestsPerSecond };
 }
 
-DemandReport FleetFigures::nextTotal(const OwnDemand &own, Millis now)
+DemandReport FleetFigures::nextDemandTotal(const OwnDemand &own, Millis now)
 {
     DemandReport total{ std::string(dataCentrePrefix) + dataCentre_, own.organisation, 0, own.requestsPerSecond };
-    for (const auto &[key, heard] : demands_) {
-        const bool counts = !isTotal(heard.report.source) && heard.report.organisation == own.organisation;
-        if (counts && now < heard.heardAt + demandMemory) {
-            total.requestsPerSecond += heard.report.requestsPerSecond;
+    for (const auto &[key, received] : demands_) {
+        const bool counts = !isDataCentreTotal(received.report.source) && received.report.organisation == own.organisation;
+        if (counts && now < received.receivedAt + demandRetention) {
+            total.requestsPerSecond += received.report.requestsPerSecond;
         }
     }
-    HeardDemand &known = demands_[demandKey(total)];
+    ReceivedDemand &known = demands_[demandKey(total)];
     total.sequence = known.report.sequence + 1;
-    known = HeardDemand{ total, now };
+    known = ReceivedDemand{ total, now };
     return total;
 }
 
@@ -108,20 +108,20 @@
     return found == summaries_.end() ? Millis{ 0 } : found->second.observedAt;
 }
 
-std::vector<OthersDemand> FleetFigures::othersDemand(const std::function<bool(const std::string &dataCentre)> &isHeard,
+std::vector<OthersDemand> FleetFigures::othersDemand(const std::function<bool(const std::string &dataCentre)> &isReachable,
                                                      Millis now) const
 {
     const std::string ownTotal = std::string(dataCentrePrefix) + dataCentre_;
     std::vector<OthersDemand> result;
-    for (const auto &[key, heard] : demands_) {
-        const std::string &source = heard.report.source;
+    for (const auto &[key, received] : demands_) {
+        const std::string &source = received.report.source;
         if (source == ownTotal || source == daemon_) {
             continue;
         }
-        // What a data centre asked before it was cut off goes on to count: its daemons still serve that demand.
-        const bool silent = isTotal(source) && !isHeard(source.substr(dataCentrePrefix.size()));
-        if (silent || now < heard.heardAt + demandMemory) {
-            result.push_back(OthersDemand{ heard.report.organisation, heard.report.requestsPerSecond });
+        // The last demand of an unreachable data centre stays included: its daemons still serve that demand.
+        const bool isUnreachable = isDataCentreTotal(source) && !isReachable(source.substr(dataCentrePrefix.size()));
+        if (isUnreachable || now < received.receivedAt + demandRetention) {
+            result.push_back(OthersDemand{ received.report.organisation, received.report.requestsPerSecond });
         }
     }
     return result;
--- a/src/portpaddle/membership/fleet_figures.h
+++ b/src/portpaddle/membership/fleet_figures.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The newest figures heard by gossip: loads of upstreams, summaries of data centres, demand of organisations.
+/// The newest figures received by gossip: loads of upstreams, summaries of data centres, demand of organisations.
 #pragma once
 
 #include "portpaddle/limits/limiter.h"
@@ -16,35 +16,36 @@
 
 namespace Portpaddle {
 
-/// Keeps the newest figure of each subject by its sequence. Time is passed in.
+/// Keeps the figure with the highest sequence number of each subject. Time is passed in.
 class FleetFigures
 {
 public:
     FleetFigures(std::string daemon, std::string dataCentre);
 
-    /// Each of these is false when what is held is as new.
-    bool take(const UpstreamDigest &digest);
-    bool take(const DataCentreSummary &summary);
-    bool take(const DemandReport &report, Millis now);
+    /// Stores a received figure; returns false if the stored one is at least as new.
+    bool storeIfNewer(const UpstreamDigest &digest);
+    bool storeIfNewer(const DataCentreSummary &summary);
+    bool storeIfNewer(const DemandReport &report, Millis now);
 
-    /// Makes the next summary of the own data centre and keeps it.
+    /// Creates and stores the next summary of the own data centre.
     DataCentreSummary nextSummary(const std::vector<SummaryEntry> &entries, Millis now);
-    /// What this daemon is asked, to be told within its data centre.
+    /// Returns the demand at this daemon, for gossip within its data centre.
     DemandReport ownDemand(const OwnDemand &own, std::uint64_t sequence) const;
-    /// What the own data centre is asked in all; keeps it.
-    DemandReport nextTotal(const OwnDemand &own, Millis now);
+    /// Creates and stores the next total demand at the own data centre.
+    DemandReport nextDemandTotal(const OwnDemand &own, Millis now);
 
     const std::map<std::string, DataCentreSummary> &summaries() const;
-    /// When the summary of a data centre was true; zero when none is known.
+    /// Returns when the summary of a data centre was observed; zero if none is known.
     Millis summaryAt(const std::string &dataCentre) const;
-    /// Demand at others; that of a data centre that cannot be heard goes on to count.
-    std::vector<OthersDemand> othersDemand(const std::function<bool(const std::string &dataCentre)> &isHeard, Millis now) const;
+    /// Returns the demand at other daemons and data centres; the last total of an unreachable data centre stays included.
+    std::vector<OthersDemand> othersDemand(const std::function<bool(const std::string &dataCentre)> &isReachable,
+                                           Millis now) const;
 
 private:
-    struct HeardDemand
+    struct ReceivedDemand
     {
         DemandReport report;
-        Millis heardAt{ 0 };
+        Millis receivedAt{ 0 };
     };
     struct SeenDigest
     {
@@ -56,7 +57,7 @@
     const std::string dataCentre_;
     std::unordered_map<std::uint32_t, SeenDigest> digests_;
     std::map<std::string, DataCentreSummary> summaries_;
-    std::map<std::string, HeardDemand> demands_;
+    std::map<std::string, ReceivedDemand> demands_;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/membership/gossip_items.cpp
+++ b/src/portpaddle/membership/gossip_items.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Measured sizes of the encoded tables without their texts; each text costs its length, a length word and padding.
+/// Measured sizes of the encoded tables without their strings; each string adds its length, a length word and padding.
 constexpr std::size_t memberBytes = 60;
 constexpr std::size_t digestBytes = 24;
 constexpr std::size_t summaryBytes = 48;
 constexpr std::size_t figuresBytes = 20;
 constexpr std::size_t demandBytes = 40;
 constexpr std::size_t textOverhead = 8;
-constexpr std::size_t messageBytes = 110;
+constexpr std::size_t headerBytes = 110;
 
 std::size_t sizeOf(const MemberUpdate &update)
 {
@@ -61,12 +61,12 @@
     return "d/" + demand.source + '/' + demand.organisation;
 }
 
-bool staysHome(const GossipItems::Payload &payload)
+bool staysInDataCentre(const GossipItems::Payload &payload)
 {
     constexpr std::string_view dataCentrePrefix = "dc:";
     const auto *demand = std::get_if<DemandReport>(&payload);
-    const bool ofOneDaemon = demand != nullptr && demand->source.compare(0, dataCentrePrefix.size(), dataCentrePrefix) != 0;
-    return ofOneDaemon || std::holds_alternative<UpstreamDigest>(payload);
+    const bool isAtOneDaemon = demand != nullptr && demand->source.compare(0, dataCentrePrefix.size(), dataCentrePrefix) != 0;
+    return isAtOneDaemon || std::holds_alternative<UpstreamDigest>(payload);
 }
 
 bool isAboutMember(const GossipItems::Payload &payload)
@@ -101,7 +101,7 @@
 void GossipItems::add(const Payload &payload, unsigned times)
 {
     const std::string subject = std::visit([](const auto &value) { return subjectOf(value); }, payload);
-    // An item that is replaced keeps its turn: what is renewed often must not push itself before the rest.
+    // A replaced item keeps its place in the order, so that frequently renewed items do not starve the others.
     const auto [position, isNew] = items_.try_emplace(subject);
     const std::uint64_t order = isNew ? ++added_ : position->second.order;
     position->second = Item{ payload, times, 0, order };
@@ -111,21 +111,21 @@
 {
     std::vector<std::map<std::string, Item>::iterator> candidates;
     for (auto item = items_.begin(); item != items_.end(); ++item) {
-        if (sameDataCentre || !staysHome(item->second.payload)) {
+        if (sameDataCentre || !staysInDataCentre(item->second.payload)) {
             candidates.push_back(item);
         }
     }
-    // News of members goes first: it is rare, and everything else depends on it.
+    // Member updates go first: they are rare, and everything else depends on them.
     std::stable_sort(candidates.begin(), candidates.end(), [](const auto &left, const auto &right) {
         const bool leftIsMember = isAboutMember(left->second.payload);
         const bool rightIsMember = isAboutMember(right->second.payload);
         if (leftIsMember != rightIsMember) {
             return leftIsMember;
         }
-        return left->second.told != right->second.told ? left->second.told < right->second.told
+        return left->second.sent != right->second.sent ? left->second.sent < right->second.sent
                                                        : left->second.order < right->second.order;
     });
-    std::size_t used = emptyMessageSize(message);
+    std::size_t used = estimatedMessageSize(message);
     for (const auto &candidate : candidates) {
         Item &item = candidate->second;
         const std::size_t size = std::visit([](const auto &value) { return sizeOf(value); }, item.payload);
@@ -134,14 +134,14 @@
         }
         used += size;
         std::visit(AddToMessage{ message }, item.payload);
-        ++item.told;
-        if (--item.left == 0) {
+        ++item.sent;
+        if (--item.sendsLeft == 0) {
             items_.erase(candidate);
         }
     }
 }
 
-bool GossipItems::hasMemberNews() const
+bool GossipItems::hasMemberUpdates() const
 {
     return std::any_of(items_.begin(), items_.end(), [](const auto &entry) { return isAboutMember(entry.second.payload); });
 }
@@ -151,9 +151,9 @@
     return items_.size();
 }
 
-std::size_t emptyMessageSize(const GossipMessage &message)
+std::size_t estimatedMessageSize(const GossipMessage &message)
 {
-    std::size_t size = messageBytes + message.sender.size() + message.target.size();
+    std::size_t size = headerBytes + message.sender.size() + message.target.size();
     for (const MemberUpdate &update : message.members) {
         size += sizeOf(update);
     }
--- a/src/portpaddle/membership/gossip_items.h
+++ b/src/portpaddle/membership/gossip_items.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// News to be passed on: each item is told a bounded number of times, the least told first, within a budget of bytes.
+/// Items queued for gossip: each is sent a bounded number of times, the least sent first, within a byte limit per message.
 #pragma once
 
 #include "portpaddle/membership/gossip_message.h"
@@ -12,33 +12,33 @@
 
 namespace Portpaddle {
 
-/// How large a message may become by items of each kind, in bytes.
+/// Sizes up to which items of each kind may fill a message, in bytes.
 struct FillLimits
 {
     std::size_t members = 0;
     std::size_t others = 0;
 };
 
-/// Holds the newest item of each subject.
+/// Keeps the newest item of each subject until it was sent often enough.
 class GossipItems
 {
 public:
     using Payload = std::variant<MemberUpdate, UpstreamDigest, DataCentreSummary, DemandReport>;
 
-    /// Adds or replaces the item about the payload's subject, to be told @p times.
+    /// Adds or replaces the item about the payload's subject; the item is dropped after @p times transmissions.
     void add(const Payload &payload, unsigned times);
-    /// Adds items to @p message up to @p limits; what belongs to a data centre stays in it.
+    /// Adds items to @p message up to @p limits. Items confined to the own data centre are left out unless @p sameDataCentre.
     void fill(GossipMessage &message, const FillLimits &limits, bool sameDataCentre);
-    bool hasMemberNews() const;
+    bool hasMemberUpdates() const;
     std::size_t size() const;
 
 private:
     struct Item
     {
         Payload payload;
-        unsigned left = 0;
-        unsigned told = 0;
-        /// Among items told equally often the one added first goes first.
+        unsigned sendsLeft = 0;
+        unsigned sent = 0;
+        /// Among items sent equally often the one added first goes first.
         std::uint64_t order = 0;
     };
 
@@ -46,7 +46,7 @@
     std::uint64_t added_ = 0;
 };
 
-/// About how many bytes a message takes before any item.
-std::size_t emptyMessageSize(const GossipMessage &message);
+/// Estimates the encoded size of a message that holds member updates and no other items, in bytes.
+std::size_t estimatedMessageSize(const GossipMessage &message);
 
 } // namespace Portpaddle
--- a/src/portpaddle/membership/gossip_message.cpp
+++ b/src/portpaddle/membership/gossip_message.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr NameTable<MemberState, 4> memberStateNames{ { "alive", "suspect", "leaving", "dead" } };
-/// Sixteen bytes of the code keep forging out of reach and datagrams small.
-constexpr std::size_t codeLength = 16;
-constexpr std::size_t longestName = 64;
-constexpr std::size_t largestList = 64;
+/// Authentication codes are truncated to 16 bytes: infeasible to forge, yet datagrams stay small.
+constexpr std::size_t macLength = 16;
+constexpr std::size_t maxNameLength = 64;
+constexpr std::size_t maxListLength = 64;
 
 template<typename Integer>
 Integer clampTo(std::uint64_t value)
@@ -32,9 +32,9 @@
     return clampTo<std::uint32_t>(static_cast<std::uint64_t>(std::max<std::int64_t>(0, (now - observedAt).count())));
 }
 
-std::string_view codeOf(const MessageCode &code)
+std::string_view macBytes(const MessageCode &code)
 {
-    return std::string_view(reinterpret_cast<const char *>(code.data()), codeLength);
+    return std::string_view(reinterpret_cast<const char *>(code.data()), macLength);
 }
 
 std::unique_ptr<Wire::MemberUpdateT> toWire(const MemberUpdate &update)
@@ -83,7 +83,7 @@
 
 bool isName(const std::string &text)
 {
-    return !text.empty() && text.size() <= longestName;
+    return !text.empty() && text.size() <= maxNameLength;
 }
 
 std::optional<MemberUpdate> fromWire(const Wire::MemberUpdateT &wire)
@@ -100,8 +100,8 @@
 
 bool listsAreBounded(const Wire::GossipT &wire)
 {
-    return wire.members.size() <= largestList && wire.upstreams.size() <= largestList && wire.summaries.size() <= largestList
-        && wire.demands.size() <= largestList;
+    return wire.members.size() <= maxListLength && wire.upstreams.size() <= maxListLength
+        && wire.summaries.size() <= maxListLength && wire.demands.size() <= maxListLength;
 }
 
 GossipMessage fromWire(const Wire::GossipT &wire, Millis now)
@@ -172,23 +172,23 @@
     for (const DemandReport &demand : message.demands) {
         wire.demands.push_back(toWire(demand));
     }
-    flatbuffers::FlatBufferBuilder builder(largestDatagram);
+    flatbuffers::FlatBufferBuilder builder(maxDatagramBytes);
     builder.Finish(Wire::Gossip::Pack(builder, &wire));
     std::string bytes(reinterpret_cast<const char *>(builder.GetBufferPointer()), builder.GetSize());
-    bytes.append(codeOf(messageCode(clusterKey, bytes)));
+    bytes.append(macBytes(messageCode(clusterKey, bytes)));
     return bytes;
 }
 
 std::optional<GossipMessage> decodeGossip(std::string_view datagram, std::string_view clusterKey, Millis now)
 {
-    if (datagram.size() <= codeLength || datagram.size() > largestDatagram) {
+    if (datagram.size() <= macLength || datagram.size() > maxDatagramBytes) {
         return std::nullopt;
     }
-    const std::string_view body = datagram.substr(0, datagram.size() - codeLength);
-    if (!equalInConstantTime(datagram.substr(body.size()), codeOf(messageCode(clusterKey, body)))) {
+    const std::string_view body = datagram.substr(0, datagram.size() - macLength);
+    if (!equalInConstantTime(datagram.substr(body.size()), macBytes(messageCode(clusterKey, body)))) {
         return std::nullopt;
     }
-    // The copy is aligned for the reader, which the position within a datagram need not be.
+    // FlatBuffers requires aligned data; the body of a datagram may be unaligned.
     const std::vector<std::uint8_t> aligned(body.begin(), body.end());
     flatbuffers::Verifier verifier(aligned.data(), aligned.size());
     if (!verifier.VerifyBuffer<Wire::Gossip>(nullptr)) {
--- a/src/portpaddle/membership/gossip_message.h
+++ b/src/portpaddle/membership/gossip_message.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The datagrams between daemons and their authenticated encoding.
+/// The gossip datagrams between daemons and their authenticated encoding.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -15,11 +15,11 @@
 
 namespace Portpaddle {
 
-/// The state of a member; at the same incarnation the later one wins.
+/// The state of a member; of two updates with the same incarnation the one with the later enumerator wins.
 enum class MemberState : std::uint8_t { Alive, Suspect, Leaving, Dead };
 std::string_view nameOf(MemberState state);
 
-/// What is told about a member.
+/// The addresses and the state of a member, as gossiped.
 struct MemberUpdate
 {
     std::string id;
@@ -32,7 +32,7 @@
     MemberState state = MemberState::Alive;
 };
 
-/// The load of an upstream, told within its data centre.
+/// The load of an upstream, gossiped within its data centre.
 struct UpstreamDigest
 {
     /// Hash of the upstream's name, by shortKey().
@@ -46,14 +46,14 @@
     bool reachable = true;
 };
 
-/// The short name of an upstream, a service or a version in gossip; never zero.
+/// Returns the hash that stands for the name of an upstream, a service or a version in gossip; never zero.
 std::uint32_t shortKey(std::string_view name);
 
-/// What a data centre offers for one service.
+/// The capacity and the load of one service in a data centre.
 struct ServiceFigures
 {
     std::uint32_t key = 0;
-    /// The versions offered, at most two; zero stands for none.
+    /// Hashes of the versions offered, at most two, by shortKey(); zero stands for none.
     std::uint32_t version = 0;
     std::uint32_t otherVersion = 0;
     unsigned capacity = 0;
@@ -61,7 +61,7 @@
     unsigned queued = 0;
 };
 
-/// What a data centre offers, told everywhere.
+/// The services that a data centre offers, gossiped to all data centres.
 struct DataCentreSummary
 {
     std::string dataCentre;
@@ -70,10 +70,11 @@
     std::vector<ServiceFigures> services;
 };
 
-/// How much an organisation asks: of one daemon, told within its data centre, or of a whole data centre, told everywhere.
+/// The request rate of an organisation at one daemon, gossiped within its data centre, or at a whole data centre, gossiped to
+/// all.
 struct DemandReport
 {
-    /// A daemon, or "dc:" and the name of a data centre.
+    /// The name of a daemon, or "dc:" and the name of a data centre.
     std::string source;
     std::string organisation;
     std::uint64_t sequence = 0;
@@ -97,19 +98,19 @@
     std::vector<DemandReport> demands;
 };
 
-/// Bytes on the way to an address.
+/// Bytes to be sent to an address.
 struct Datagram
 {
     SocketAddress to;
     std::string bytes;
 };
 
-/// Largest datagram sent or accepted, below the usual path MTU.
-inline constexpr std::size_t largestDatagram = 1400;
+/// Largest datagram sent or accepted, in bytes; below the usual path MTU.
+inline constexpr std::size_t maxDatagramBytes = 1400;
 
-/// Encodes with ages counted from @p now and appends a code under @p clusterKey.
+/// Encodes @p message, with ages relative to @p now, and appends an authentication code under @p clusterKey.
 std::string encodeGossip(const GossipMessage &message, std::string_view clusterKey, Millis now);
-/// No value for anything that was not made under @p clusterKey or is not well formed.
+/// Returns no value if the datagram was not authenticated under @p clusterKey or is malformed.
 std::optional<GossipMessage> decodeGossip(std::string_view datagram, std::string_view clusterKey, Millis now);
 
 } // namespace Portpaddle
--- a/src/portpaddle/membership/gossip_node.cpp
+++ b/src/portpaddle/membership/gossip_node.cpp
@@ -13,29 +13,29 @@
 
 namespace {
 
-/// Room for the code at the end and for the estimate's error.
-constexpr std::size_t fillLimit = largestDatagram - 160;
-/// Leaves room for one more member, whose names may be long.
-constexpr std::size_t introductionLimit = 900;
+/// Leaves room for the authentication code and for errors of the size estimate.
+constexpr std::size_t fillLimit = maxDatagramBytes - 160;
+/// Size at which a datagram of members for a newcomer is sent; leaves room for one more member with long names.
+constexpr std::size_t memberDatagramLimit = 900;
 constexpr unsigned indirectProbes = 2;
-/// Records of members that each probe repeats; more would crowd out figures.
-constexpr unsigned repeatedRecords = 1;
-/// One probe in so many goes to a member that is believed dead: it may have come back.
+/// Member records that each probe repeats for anti-entropy; more would crowd out load figures.
+constexpr unsigned antiEntropyRecords = 1;
+/// Every this many probe rounds a member that is believed dead is probed: it may have come back.
 constexpr unsigned deadProbeInterval = 5;
-constexpr std::size_t largestRelayTable = 256;
+constexpr std::size_t maxRelays = 256;
 constexpr double budgetBurstSeconds = 1;
-/// Daemons that tell the summary of their data centre: a second one, should the first be gone unnoticed.
-constexpr unsigned summarySpeakers = 2;
-/// What a datagram may cost; a push waits until the budget has it.
-constexpr double pushCost = 600;
+/// Daemons that announce the summary of their data centre; the second covers an undetected failure of the first.
+constexpr unsigned summaryAnnouncers = 2;
+/// Bytes that the budget must hold before a push with load figures is sent.
+constexpr double minPushBudget = 600;
 
-/// How often an item is told so that rumour reaches an audience of this size.
-unsigned tellingsFor(std::size_t audience)
+/// Returns how often each member sends an item so that the item reaches a group of this size.
+unsigned transmissionsFor(std::size_t groupSize)
 {
-    return 2 + static_cast<unsigned>(std::ceil(std::log2(static_cast<double>(audience) + 1)));
+    return 2 + static_cast<unsigned>(std::ceil(std::log2(static_cast<double>(groupSize) + 1)));
 }
 
-bool isUsable(MemberState state)
+bool isActive(MemberState state)
 {
     return state == MemberState::Alive || state == MemberState::Suspect || state == MemberState::Leaving;
 }
@@ -52,22 +52,22 @@
     , startedAt_(now)
     , nextProbeAt_(now)
     , nextPushAt_(now)
-    , allowanceAt_(now)
-    , allowance_(config.bytesPerSecond * budgetBurstSeconds)
+    , byteBudgetAt_(now)
+    , byteBudget_(config.bytesPerSecond * budgetBurstSeconds)
 {
-    tellMember(members_.self());
+    announceMember(members_.self());
 }
 
 std::vector<Datagram> GossipNode::tick(Millis now)
 {
     std::vector<Datagram> out;
-    const double seconds = static_cast<double>((now - allowanceAt_).count()) / 1000;
-    allowance_ = std::min(config_.bytesPerSecond * budgetBurstSeconds, allowance_ + seconds * config_.bytesPerSecond);
-    allowanceAt_ = now;
-    followProbe(now, out);
+    const double seconds = static_cast<double>((now - byteBudgetAt_).count()) / 1000;
+    byteBudget_ = std::min(config_.bytesPerSecond * budgetBurstSeconds, byteBudget_ + seconds * config_.bytesPerSecond);
+    byteBudgetAt_ = now;
+    checkProbes(now, out);
     if (now >= nextProbeAt_) {
         nextProbeAt_ = now + config_.probePeriod;
-        beginProbe(now, out);
+        beginProbeRound(now, out);
     }
     if (now >= nextPushAt_) {
         nextPushAt_ = now + config_.pushInterval;
@@ -81,25 +81,25 @@
     std::vector<Datagram> out;
     const std::optional<GossipMessage> message = decodeGossip(bytes, clusterKey_, now);
     if (!message || message->sender == members_.self().id) {
-        rejected_ += message ? 0 : 1;
+        rejectedDatagrams_ += message ? 0 : 1;
         return out;
     }
-    takeNewsOf(*message, now);
+    applyMessage(*message, now);
     noteSender(*message, now);
     const bool local = members_.isLocal(message->sender);
     switch (message->kind) {
     case GossipKind::Ping:
-        // A probe for somebody who had this address before is not answered: that somebody is gone.
+        // A probe for a member that had this address before is not answered: that member is gone.
         if (message->target.empty() || message->target == members_.self().id) {
             send(newMessage(GossipKind::Ack, members_.self().id, message->sequence), from, local, now, out);
         }
         if (message->target.empty()) {
-            introduceMembers(from, now, out);
+            sendMembers(from, now, out);
         }
         break;
     case GossipKind::PingRequest: {
         const MemberRecord *target = members_.find(message->target);
-        if (target != nullptr && relays_.size() < largestRelayTable) {
+        if (target != nullptr && relays_.size() < maxRelays) {
             const std::uint32_t sequence = ++sequence_;
             relays_[sequence] = Relay{ from, message->sequence, message->target };
             send(newMessage(GossipKind::Ping, message->target, sequence), target->update.gossip,
@@ -110,7 +110,8 @@
     case GossipKind::Ack: {
         const auto relay = relays_.find(message->sequence);
         if (relay != relays_.end() && relay->second.target == message->target) {
-            send(newMessage(GossipKind::Ack, message->target, relay->second.askerSequence), relay->second.asker, true, now, out);
+            send(newMessage(GossipKind::Ack, message->target, relay->second.requesterSequence), relay->second.requester, true,
+                 now, out);
             relays_.erase(relay);
         }
         std::erase_if(probes_,
@@ -131,7 +132,7 @@
 void GossipNode::leave()
 {
     members_.leave();
-    tellMember(members_.self());
+    announceMember(members_.self());
 }
 
 void GossipNode::setSettingsVersion(std::uint64_t version)
@@ -145,32 +146,32 @@
         shortKey(report.upstream),    report.sequence, report.observedAt, report.load.running, report.load.queuedInteractive,
         report.load.queuedDeferrable, report.leaving,  report.reachable
     };
-    figures_.take(digest);
-    items_.add(digest, tellingsHere());
+    figures_.storeIfNewer(digest);
+    items_.add(digest, localTransmissions());
 }
 
 void GossipNode::announceSummaries(const std::vector<SummaryEntry> &entries, Millis now)
 {
-    if (entries.empty() || !isResponsibleFor("summary", summarySpeakers)) {
+    if (entries.empty() || !isResponsibleFor("summary", summaryAnnouncers)) {
         return;
     }
-    items_.add(figures_.nextSummary(entries, now), tellingsEverywhere());
+    items_.add(figures_.nextSummary(entries, now), globalTransmissions());
 }
 
 void GossipNode::announceDemand(const std::vector<OwnDemand> &demand, Millis now)
 {
     ++demandSequence_;
     for (const OwnDemand &own : demand) {
-        items_.add(figures_.ownDemand(own, demandSequence_), tellingsHere());
+        items_.add(figures_.ownDemand(own, demandSequence_), localTransmissions());
         if (isResponsibleFor(own.organisation)) {
-            items_.add(figures_.nextTotal(own, now), tellingsEverywhere());
+            items_.add(figures_.nextDemandTotal(own, now), globalTransmissions());
         }
     }
 }
 
 GossipUpdates GossipNode::takeUpdates()
 {
-    return std::exchange(news_, GossipUpdates{});
+    return std::exchange(updates_, GossipUpdates{});
 }
 
 MemberTable GossipNode::memberTable(Millis now) const
@@ -180,11 +181,11 @@
     for (const auto &[id, record] : members_.records()) {
         const MemberUpdate &update = record.update;
         MemberView view{ id, update.region, update.dataCentre, update.entryAddress, update.linkAddress, false, false, false };
-        view.alive = isUsable(update.state);
+        view.alive = isActive(update.state);
         view.leaving = update.state == MemberState::Leaving;
-        view.suspected = update.state == MemberState::Suspect || !dataCentreHeard(update.dataCentre, now);
-        const bool vanishedLately = update.state == MemberState::Dead && now < record.since + config_.limitMemory;
-        table.counted += view.alive || vanishedLately ? 1 : 0;
+        view.suspected = update.state == MemberState::Suspect || !isDataCentreReachable(update.dataCentre, now);
+        const bool diedRecently = update.state == MemberState::Dead && now < record.since + config_.limitRetention;
+        table.counted += view.alive || diedRecently ? 1 : 0;
         table.partitioned = table.partitioned || (view.alive && view.suspected);
         table.members.push_back(std::move(view));
     }
@@ -198,7 +199,7 @@
 
 std::vector<OthersDemand> GossipNode::othersDemand(Millis now) const
 {
-    return figures_.othersDemand([&](const std::string &dataCentre) { return dataCentreHeard(dataCentre, now); }, now);
+    return figures_.othersDemand([&](const std::string &dataCentre) { return isDataCentreReachable(dataCentre, now); }, now);
 }
 
 const MemberList &GossipNode::members() const
@@ -208,7 +209,7 @@
 
 std::vector<std::string> GossipNode::localMembers() const
 {
-    std::vector<std::string> result = members_.probed(members_.self().dataCentre);
+    std::vector<std::string> result = members_.activeMembers(members_.self().dataCentre);
     std::erase_if(result, [&](const std::string &id) { return members_.find(id)->update.state != MemberState::Alive; });
     if (members_.self().state != MemberState::Leaving) {
         result.push_back(members_.self().id);
@@ -220,24 +221,24 @@
 bool GossipNode::isResponsibleFor(const std::string &subject, unsigned places) const
 {
     const std::uint64_t key = stableHash(subject);
-    const double mine = rendezvousScore(key, stableHash(members_.self().id), 1);
+    const double ownScore = rendezvousScore(key, stableHash(members_.self().id), 1);
     const std::vector<std::string> local = localMembers();
-    // Whoever leaves has handed over, unless nobody else is left to do it.
+    // A leaving daemon is responsible for nothing, unless no other member is left.
     if (members_.self().state == MemberState::Leaving && !local.empty()) {
         return false;
     }
     unsigned before = 0;
     for (const std::string &id : local) {
-        if (id != members_.self().id && rendezvousScore(key, stableHash(id), 1) > mine) {
+        if (id != members_.self().id && rendezvousScore(key, stableHash(id), 1) > ownScore) {
             ++before;
         }
     }
     return before < places;
 }
 
-std::uint64_t GossipNode::rejected() const
+std::uint64_t GossipNode::rejectedDatagrams() const
 {
-    return rejected_;
+    return rejectedDatagrams_;
 }
 
 GossipMessage GossipNode::newMessage(GossipKind kind, const std::string &target, std::uint32_t sequence) const
@@ -254,24 +255,24 @@
 
 void GossipNode::send(GossipMessage message, const SocketAddress &to, bool sameDataCentre, Millis now, std::vector<Datagram> &out)
 {
-    // Probes, answers and news of members always go out: they are rare. Figures are cut to what is left of the budget.
-    const double room = std::clamp(allowance_, 0.0, static_cast<double>(fillLimit));
+    // Probes, acknowledgements and member updates are rare and always sent. Load figures are limited to the rest of the budget.
+    const double room = std::clamp(byteBudget_, 0.0, static_cast<double>(fillLimit));
     items_.fill(message, FillLimits{ fillLimit, static_cast<std::size_t>(room) }, sameDataCentre);
     std::string bytes = encodeGossip(message, clusterKey_, now);
-    allowance_ -= static_cast<double>(bytes.size());
+    byteBudget_ -= static_cast<double>(bytes.size());
     out.push_back(Datagram{ to, std::move(bytes) });
 }
 
-void GossipNode::beginProbe(Millis now, std::vector<Datagram> &out)
+void GossipNode::beginProbeRound(Millis now, std::vector<Datagram> &out)
 {
-    ++period_;
+    ++probeRound_;
     for (const MemberUpdate &died :
-         members_.expireSuspects(config_.probePeriod * (config_.suspicionPeriods + tellingsHere()), now)) {
-        news_.membersChanged = true;
-        tellMember(died);
+         members_.expireSuspects(config_.probePeriod * (config_.suspicionPeriods + localTransmissions()), now)) {
+        updates_.membersChanged = true;
+        announceMember(died);
     }
-    members_.forgetDead(config_.deadMemory, now);
-    std::erase_if(relays_, [&](const auto &relay) { return relay.first + largestRelayTable < sequence_; });
+    members_.forgetDead(config_.deadRetention, now);
+    std::erase_if(relays_, [&](const auto &relay) { return relay.first + maxRelays < sequence_; });
     const std::optional<std::string> local = targets_.nextLocal();
     if (local) {
         probeTarget(*local, false, now, out);
@@ -280,33 +281,34 @@
     if (remote) {
         probeTarget(*remote, true, now, out);
     }
-    const std::optional<std::string> dead = period_ % deadProbeInterval == 0 ? targets_.randomDead() : std::nullopt;
+    const std::optional<std::string> dead = probeRound_ % deadProbeInterval == 0 ? targets_.randomDead() : std::nullopt;
     if (dead) {
         probeTarget(*dead, true, now, out);
     }
     if (!local && !remote) {
-        trySeeds(now, out);
+        pingSeeds(now, out);
     }
 }
 
-void GossipNode::followProbe(Millis now, std::vector<Datagram> &out)
+void GossipNode::checkProbes(Millis now, std::vector<Datagram> &out)
 {
     std::vector<Probe> open;
     for (Probe probe : probes_) {
         if (now >= probe.startedAt + config_.probePeriod) {
-            // Only the own data centre judges its members: across a cut everyone would look dead to everyone.
+            // Only members of the same data centre are suspected: in a partition between data centres every remote member
+            // would appear dead.
             if (!probe.remote && members_.suspect(probe.target, now)) {
-                news_.membersChanged = true;
-                tellMember(members_.find(probe.target)->update);
+                updates_.membersChanged = true;
+                announceMember(members_.find(probe.target)->update);
             }
             continue;
         }
         if (!probe.indirect && !probe.remote && now >= probe.startedAt + config_.ackTimeout) {
             probe.indirect = true;
-            std::vector<std::string> helpers = members_.probed(members_.self().dataCentre);
+            std::vector<std::string> helpers = members_.activeMembers(members_.self().dataCentre);
             std::erase(helpers, probe.target);
             for (unsigned count = 0; count < indirectProbes && !helpers.empty(); ++count) {
-                const std::string helper = *targets_.pick(helpers);
+                const std::string helper = *targets_.pickRandom(helpers);
                 std::erase(helpers, helper);
                 send(newMessage(GossipKind::PingRequest, probe.target, probe.sequence), members_.find(helper)->update.gossip,
                      true, now, out);
@@ -324,19 +326,19 @@
     probes_.push_back(Probe{ target, sequence, now, false, remote });
     GossipMessage message = newMessage(GossipKind::Ping, target, sequence);
     if (update.state != MemberState::Alive) {
-        // Whoever is suspected hears of it directly, to refute it.
+        // A suspected member is sent its own record, so that it can refute the suspicion.
         message.members.push_back(update);
     }
-    addOldNews(message);
+    addAntiEntropyRecords(message);
     send(std::move(message), update.gossip, members_.isLocal(target), now, out);
 }
 
-void GossipNode::addOldNews(GossipMessage &message)
+void GossipNode::addAntiEntropyRecords(GossipMessage &message)
 {
-    // News is told a bounded number of times, and all of those may be lost in a cut. Repeating a few records of everything
-    // known, chosen by chance, makes views meet whatever was lost.
+    // Items are sent a bounded number of times, and all of these may be lost in a partition. Repeating random records of
+    // all members makes the views converge regardless of losses.
     const auto &records = members_.records();
-    for (unsigned count = 0; count < repeatedRecords; ++count) {
+    for (unsigned count = 0; count < antiEntropyRecords; ++count) {
         const auto chosen = std::next(records.begin(), static_cast<std::ptrdiff_t>(random_.below(records.size())));
         message.members.push_back(chosen->second.update);
     }
@@ -344,16 +346,16 @@
 
 void GossipNode::push(Millis now, std::vector<Datagram> &out)
 {
-    if (!items_.hasMemberNews() && (items_.size() == 0 || allowance_ < pushCost)) {
+    if (!items_.hasMemberUpdates() && (items_.size() == 0 || byteBudget_ < minPushBudget)) {
         return;
     }
-    const std::optional<std::string> target = targets_.pick(members_.probed(members_.self().dataCentre));
+    const std::optional<std::string> target = targets_.pickRandom(members_.activeMembers(members_.self().dataCentre));
     if (target) {
         send(newMessage(GossipKind::Push, {}, 0), members_.find(*target)->update.gossip, true, now, out);
     }
 }
 
-void GossipNode::trySeeds(Millis now, std::vector<Datagram> &out)
+void GossipNode::pingSeeds(Millis now, std::vector<Datagram> &out)
 {
     for (const SocketAddress &seed : seeds_) {
         if (seed == members_.self().gossip) {
@@ -365,14 +367,14 @@
     }
 }
 
-void GossipNode::introduceMembers(const SocketAddress &newcomer, Millis now, std::vector<Datagram> &out)
+void GossipNode::sendMembers(const SocketAddress &newcomer, Millis now, std::vector<Datagram> &out)
 {
     GossipMessage message = newMessage(GossipKind::Push, {}, 0);
     for (const auto &[id, record] : members_.records()) {
-        if (isUsable(record.update.state)) {
+        if (isActive(record.update.state)) {
             message.members.push_back(record.update);
         }
-        if (emptyMessageSize(message) > introductionLimit) {
+        if (estimatedMessageSize(message) > memberDatagramLimit) {
             out.push_back(Datagram{ newcomer, encodeGossip(message, clusterKey_, now) });
             message.members.clear();
         }
@@ -380,30 +382,30 @@
     out.push_back(Datagram{ newcomer, encodeGossip(message, clusterKey_, now) });
 }
 
-void GossipNode::takeNewsOf(const GossipMessage &message, Millis now)
+void GossipNode::applyMessage(const GossipMessage &message, Millis now)
 {
     for (const MemberUpdate &update : message.members) {
         applyUpdate(update, now);
     }
-    if (message.settingsVersion > std::max(news_.settingsVersion, settingsVersion_)) {
-        news_.settingsVersion = message.settingsVersion;
-        news_.settingsHolder = message.sender;
+    if (message.settingsVersion > std::max(updates_.settingsVersion, settingsVersion_)) {
+        updates_.settingsVersion = message.settingsVersion;
+        updates_.settingsPeer = message.sender;
     }
     for (const UpstreamDigest &digest : message.upstreams) {
-        if (members_.isLocal(message.sender) && figures_.take(digest)) {
-            news_.upstreams.push_back(digest);
-            items_.add(digest, tellingsHere());
+        if (members_.isLocal(message.sender) && figures_.storeIfNewer(digest)) {
+            updates_.upstreams.push_back(digest);
+            items_.add(digest, localTransmissions());
         }
     }
     for (const DataCentreSummary &summary : message.summaries) {
-        if (figures_.take(summary)) {
-            news_.summariesChanged = true;
-            items_.add(summary, tellingsEverywhere());
+        if (figures_.storeIfNewer(summary)) {
+            updates_.summariesChanged = true;
+            items_.add(summary, globalTransmissions());
         }
     }
     for (const DemandReport &report : message.demands) {
-        if (figures_.take(report, now)) {
-            items_.add(report, tellingsHere());
+        if (figures_.storeIfNewer(report, now)) {
+            items_.add(report, localTransmissions());
         }
     }
 }
@@ -413,19 +415,19 @@
     switch (members_.apply(update, now)) {
     case UpdateEffect::Nothing:
         return;
-    case UpdateEffect::RefutesUs:
-        tellMember(members_.self());
+    case UpdateEffect::RefutationNeeded:
+        announceMember(members_.self());
         return;
     case UpdateEffect::Changed:
-        news_.membersChanged = true;
-        tellMember(update);
+        updates_.membersChanged = true;
+        announceMember(update);
         return;
     }
 }
 
-void GossipNode::tellMember(const MemberUpdate &update)
+void GossipNode::announceMember(const MemberUpdate &update)
 {
-    items_.add(update, tellingsEverywhere());
+    items_.add(update, globalTransmissions());
 }
 
 void GossipNode::noteSender(const GossipMessage &message, Millis now)
@@ -434,30 +436,30 @@
     if (record == nullptr) {
         return;
     }
-    members_.heardFrom(message.sender, now);
-    dataCentreHeardAt_[record->update.dataCentre] = now;
+    members_.recordContact(message.sender, now);
+    dataCentreContactAt_[record->update.dataCentre] = now;
 }
 
-unsigned GossipNode::tellingsHere() const
+unsigned GossipNode::localTransmissions() const
 {
-    return tellingsFor(localMembers().size());
+    return transmissionsFor(localMembers().size());
 }
 
-unsigned GossipNode::tellingsEverywhere() const
+unsigned GossipNode::globalTransmissions() const
 {
-    return tellingsFor(members_.records().size());
+    return transmissionsFor(members_.records().size());
 }
 
-bool GossipNode::dataCentreHeard(const std::string &dataCentre, Millis now) const
+bool GossipNode::isDataCentreReachable(const std::string &dataCentre, Millis now) const
 {
     if (dataCentre == members_.self().dataCentre) {
         return true;
     }
-    const auto heard = dataCentreHeardAt_.find(dataCentre);
-    Millis latest = heard == dataCentreHeardAt_.end() ? startedAt_ : heard->second;
-    // A large data centre hears directly of another only now and then: a fresh summary proves as much.
+    const auto contact = dataCentreContactAt_.find(dataCentre);
+    Millis latest = contact == dataCentreContactAt_.end() ? startedAt_ : contact->second;
+    // In a large data centre each daemon rarely receives datagrams directly from another one: a fresh summary is equal proof.
     latest = std::max(latest, figures_.summaryAt(dataCentre));
-    return now < latest + config_.remoteSilence;
+    return now < latest + config_.remoteContactTimeout;
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/membership/gossip_node.h
+++ b/src/portpaddle/membership/gossip_node.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The protocol of membership and load between daemons, without any I/O of its own.
+/// The gossip protocol for membership and load between daemons, without any I/O of its own.
 #pragma once
 
 #include "portpaddle/membership/fleet_figures.h"
@@ -21,69 +21,74 @@
 
 class RandomSource;
 
-/// Times and bounds of the protocol.
+/// Intervals, timeouts and limits of the gossip protocol.
 struct GossipConfig
 {
     Millis probePeriod{ 1'000 };
     Millis ackTimeout{ 400 };
-    /// How often news is pushed when nothing needs probing.
+    /// Interval of push messages, which carry queued items besides the probes.
     Millis pushInterval{ 200 };
-    /// Bytes a second that this daemon may send.
+    /// Bytes per second that this daemon may send.
     double bytesPerSecond = 2'800;
-    /// A suspect that stays silent this many probe periods, and more in large data centres, is dead.
+    /// Probe periods after which an unrefuted suspect is declared dead; more are added in large data centres.
     unsigned suspicionPeriods = 4;
-    /// A data centre that was not heard of this long counts as cut off.
-    Millis remoteSilence{ 10'000 };
-    /// The dead are remembered, and tried now and then, this long.
-    Millis deadMemory{ 24 * 3'600'000 };
-    /// Vanished daemons count for limits this long.
-    Millis limitMemory{ 600'000 };
+    /// A data centre without contact for this long counts as unreachable.
+    Millis remoteContactTimeout{ 10'000 };
+    /// Dead members are kept, and probed now and then, for this long.
+    Millis deadRetention{ 24 * 3'600'000 };
+    /// Dead members count in the division of rate limits for this long.
+    Millis limitRetention{ 600'000 };
 };
 
-/// What the node learned that others act on.
+/// Changes that the node learned since they were last taken.
 struct GossipUpdates
 {
     std::vector<UpstreamDigest> upstreams;
     bool membersChanged = false;
     bool summariesChanged = false;
-    /// The highest version of the settings that a peer holds, and that peer.
+    /// The highest settings version that a peer announced; zero if none is newer than the own one.
     std::uint64_t settingsVersion = 0;
-    std::string settingsHolder;
+    /// The peer that announced this version.
+    std::string settingsPeer;
 };
 
-/// One daemon's part in the protocol. Not thread-safe; time and randomness are passed in.
+/// One daemon's side of the protocol. Not thread-safe; time and randomness are passed in.
 class GossipNode
 {
 public:
     GossipNode(GossipConfig config, const MemberUpdate &self, std::string clusterKey, RandomSource &random, Millis now);
 
-    /// To be called every few tens of milliseconds.
+    /// Returns the datagrams that are due; to be called every few tens of milliseconds.
     std::vector<Datagram> tick(Millis now);
+    /// Handles a received datagram; returns the datagrams to send in response.
     std::vector<Datagram> receive(const SocketAddress &from, std::string_view bytes, Millis now);
 
-    /// Addresses to try while nobody else is known.
+    /// Sets the addresses that are pinged while no other member is known.
     void setSeeds(std::vector<SocketAddress> seeds);
-    /// Tells everyone that this daemon leaves; sticky for this incarnation.
+    /// Announces that this daemon leaves; cannot be undone in this incarnation.
     void leave();
     void setSettingsVersion(std::uint64_t version);
-    /// Tells the data centre what this daemon saw of an upstream.
+    /// Announces the load of an upstream within the data centre.
     void announceUpstream(const UpstreamReport &report);
-    /// Tells everyone what this data centre offers, if this daemon speaks for it.
+    /// Announces to all what this data centre offers, if this daemon is responsible for its summary.
     void announceSummaries(const std::vector<SummaryEntry> &summaries, Millis now);
-    /// Tells the data centre what organisations ask of this daemon, and everyone the total, for those it speaks for.
+    /// Announces the demand of organisations at this daemon within the data centre, and to all the data centre's total of those
+    /// organisations that this daemon is responsible for.
     void announceDemand(const std::vector<OwnDemand> &demand, Millis now);
 
+    /// Returns the changes since the last call.
     GossipUpdates takeUpdates();
     MemberTable memberTable(Millis now) const;
-    /// The newest summary of each data centre, by its name.
+    /// Returns the newest summary of each data centre, by its name.
     const std::map<std::string, DataCentreSummary> &summaries() const;
     std::vector<OthersDemand> othersDemand(Millis now) const;
     const MemberList &members() const;
-    /// Live members of the own data centre, this one included, in a common order.
+    /// Returns the live members of the own data centre, this one included, sorted by id.
     std::vector<std::string> localMembers() const;
-    /// Whether this daemon is among the first @p places of the ranking of its data centre for @p subject.
+    /// Whether this daemon is among the first @p places of its data centre's rendezvous ranking for @p subject.
     bool isResponsibleFor(const std::string &subject, unsigned places = 1) const;
-    std::uint64_t rejected() const;
+    /// Returns the number of datagrams that failed authentication or decoding.
+    std::uint64_t rejectedDatagrams() const;
 
 private:
     struct Probe
@@ -94,32 +99,32 @@
         bool indirect = false;
         bool remote = false;
     };
-    /// A probe made for another member: its answer is handed on.
+    /// A probe made on behalf of another member, to which the acknowledgement is forwarded.
     struct Relay
     {
-        SocketAddress asker;
-        std::uint32_t askerSequence = 0;
+        SocketAddress requester;
+        std::uint32_t requesterSequence = 0;
         std::string target;
     };
 
     GossipMessage newMessage(GossipKind kind, const std::string &target, std::uint32_t sequence) const;
     void send(GossipMessage message, const SocketAddress &to, bool sameDataCentre, Millis now, std::vector<Datagram> &out);
-    void beginProbe(Millis now, std::vector<Datagram> &out);
-    void followProbe(Millis now, std::vector<Datagram> &out);
+    void beginProbeRound(Millis now, std::vector<Datagram> &out);
+    void checkProbes(Millis now, std::vector<Datagram> &out);
     void probeTarget(const std::string &target, bool remote, Millis now, std::vector<Datagram> &out);
-    void addOldNews(GossipMessage &message);
+    void addAntiEntropyRecords(GossipMessage &message);
     void push(Millis now, std::vector<Datagram> &out);
-    /// Tells a newcomer of everyone, outside the budget: it happens once per start of a daemon.
-    void introduceMembers(const SocketAddress &newcomer, Millis now, std::vector<Datagram> &out);
-    void trySeeds(Millis now, std::vector<Datagram> &out);
-    void takeNewsOf(const GossipMessage &message, Millis now);
+    /// Sends all members to a newcomer, regardless of the byte budget: this happens once per start of a daemon.
+    void sendMembers(const SocketAddress &newcomer, Millis now, std::vector<Datagram> &out);
+    void pingSeeds(Millis now, std::vector<Datagram> &out);
+    void applyMessage(const GossipMessage &message, Millis now);
     void applyUpdate(const MemberUpdate &update, Millis now);
-    void tellMember(const MemberUpdate &update);
+    void announceMember(const MemberUpdate &update);
     void noteSender(const GossipMessage &message, Millis now);
-    /// How often news for the own data centre, or for everyone, is told.
-    unsigned tellingsHere() const;
-    unsigned tellingsEverywhere() const;
-    bool dataCentreHeard(const std::string &dataCentre, Millis now) const;
+    /// Returns how often an item is sent to reach the own data centre, or all members.
+    unsigned localTransmissions() const;
+    unsigned globalTransmissions() const;
+    bool isDataCentreReachable(const std::string &dataCentre, Millis now) const;
 
     const GossipConfig config_;
     const std::string clusterKey_;
@@ -131,18 +136,18 @@
     std::vector<SocketAddress> seeds_;
     std::vector<Probe> probes_;
     std::map<std::uint32_t, Relay> relays_;
-    std::unordered_map<std::string, Millis> dataCentreHeardAt_;
-    GossipUpdates news_;
+    std::unordered_map<std::string, Millis> dataCentreContactAt_;
+    GossipUpdates updates_;
     std::uint64_t settingsVersion_ = 0;
     std::uint32_t sequence_ = 0;
     std::uint64_t demandSequence_ = 0;
-    std::uint64_t rejected_ = 0;
-    unsigned period_ = 0;
+    std::uint64_t rejectedDatagrams_ = 0;
+    unsigned probeRound_ = 0;
     Millis startedAt_;
     Millis nextProbeAt_;
     Millis nextPushAt_;
-    Millis allowanceAt_;
-    double allowance_;
+    Millis byteBudgetAt_;
+    double byteBudget_;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/membership/member_list.cpp
+++ b/src/portpaddle/membership/member_list.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A hostile or broken peer cannot fill the memory with invented members.
-constexpr std::size_t largestList = 4096;
+/// Keeps a hostile or broken peer from filling the memory with invented members.
+constexpr std::size_t maxMembers = 4096;
 
 bool supersedes(const MemberUpdate &update, const MemberUpdate &known)
 {
@@ -44,19 +44,19 @@
 UpdateEffect MemberList::apply(const MemberUpdate &update, Millis now)
 {
     if (update.id == self_.id) {
-        const bool aboutUsNow = update.incarnation == self_.incarnation && update.state <= self_.state;
-        if (update.incarnation < self_.incarnation || aboutUsNow) {
+        const bool confirmsOwnState = update.incarnation == self_.incarnation && update.state <= self_.state;
+        if (update.incarnation < self_.incarnation || confirmsOwnState) {
             return UpdateEffect::Nothing;
         }
-        // Either somebody suspects us, or a former process with this name is remembered: both are outdone, and a
-        // daemon that leaves goes on leaving.
+        // Either this daemon is suspected, or others remember a former process with its name. A higher incarnation
+        // overrides both; the state is kept, so that a leaving daemon stays leaving.
         self_.incarnation = update.incarnation + 1;
         records_[self_.id] = MemberRecord{ self_, now, now };
-        return UpdateEffect::RefutesUs;
+        return UpdateEffect::RefutationNeeded;
     }
     const auto found = records_.find(update.id);
     if (found == records_.end()) {
-        if (records_.size() >= largestList) {
+        if (records_.size() >= maxMembers) {
             return UpdateEffect::Nothing;
         }
         records_[update.id] = MemberRecord{ update, now, Millis{ 0 } };
@@ -70,11 +70,11 @@
     return UpdateEffect::Changed;
 }
 
-void MemberList::heardFrom(const std::string &id, Millis now)
+void MemberList::recordContact(const std::string &id, Millis now)
 {
     const auto found = records_.find(id);
     if (found != records_.end()) {
-        found->second.heardAt = now;
+        found->second.lastContactAt = now;
     }
 }
 
@@ -88,7 +88,7 @@
     if (state == MemberState::Alive) {
         state = MemberState::Suspect;
     } else if (state == MemberState::Leaving) {
-        // Whoever said that it leaves and then falls silent has left.
+        // A member that announced that it leaves and then stops answering has left.
         state = MemberState::Dead;
     } else {
         return false;
@@ -123,7 +123,7 @@
     });
 }
 
-std::vector<std::string> MemberList::probed(const std::string &dataCentre) const
+std::vector<std::string> MemberList::activeMembers(const std::string &dataCentre) const
 {
     std::vector<std::string> result;
     for (const auto &[id, record] : records_) {
--- a/src/portpaddle/membership/member_list.h
+++ b/src/portpaddle/membership/member_list.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What a daemon believes of all others: states, incarnations, suspicion and refutation.
+/// A daemon's view of all members: states, incarnations, suspicion and refutation.
 #pragma once
 
 #include "portpaddle/membership/gossip_message.h"
@@ -12,20 +12,20 @@
 
 namespace Portpaddle {
 
-/// A member with what this daemon noted about it.
+/// A member and when this daemon last learned of it.
 struct MemberRecord
 {
     MemberUpdate update;
-    /// When the present state was learned.
+    /// When the current state was learned.
     Millis since{ 0 };
-    /// When a datagram of this member arrived last.
-    Millis heardAt{ 0 };
+    /// When the last datagram from this member arrived.
+    Millis lastContactAt{ 0 };
 };
 
 /// What applying an update changed.
-enum class UpdateEffect { Nothing, Changed, RefutesUs };
+enum class UpdateEffect { Nothing, Changed, RefutationNeeded };
 
-/// A pure state machine; time is passed in.
+/// The member states as a pure state machine; time is passed in.
 class MemberList
 {
 public:
@@ -33,23 +33,23 @@
 
     const MemberUpdate &self() const;
     const std::map<std::string, MemberRecord> &records() const;
-    /// Whether @p id is known and lives in the own data centre.
+    /// Whether @p id is a known member of the own data centre.
     bool isLocal(const std::string &id) const;
     const MemberRecord *find(const std::string &id) const;
 
-    /// Takes what was told; after RefutesUs the own incarnation is higher and has to be told.
+    /// Applies a received update. RefutationNeeded means that the own incarnation was raised and must be announced.
     UpdateEffect apply(const MemberUpdate &update, Millis now);
-    void heardFrom(const std::string &id, Millis now);
-    /// Marks a member that did not answer; false when nothing changed.
+    void recordContact(const std::string &id, Millis now);
+    /// Marks a member that did not answer a probe; returns false if nothing changed.
     bool suspect(const std::string &id, Millis now);
-    /// Declares dead whoever was suspected too long; returns what changed.
+    /// Declares members dead that have been suspect for @p timeout; returns their updates.
     std::vector<MemberUpdate> expireSuspects(Millis timeout, Millis now);
     void leave();
-    /// Forgets the dead after a long time.
+    /// Removes members that have been dead for @p after.
     void forgetDead(Millis after, Millis now);
 
-    /// Members of @p dataCentre (all when empty) in one of the states that are probed, without the own daemon.
-    std::vector<std::string> probed(const std::string &dataCentre) const;
+    /// Returns the members of @p dataCentre (of all when empty) that are not dead, without the own daemon.
+    std::vector<std::string> activeMembers(const std::string &dataCentre) const;
 
 private:
     MemberUpdate self_;
--- a/src/portpaddle/membership/probe_targets.cpp
+++ b/src/portpaddle/membership/probe_targets.cpp
@@ -18,20 +18,20 @@
 
 std::optional<std::string> ProbeTargets::nextLocal()
 {
-    const std::vector<std::string> ids = members_.probed(members_.self().dataCentre);
+    const std::vector<std::string> ids = members_.activeMembers(members_.self().dataCentre);
     if (ids.empty()) {
         return std::nullopt;
     }
     while (true) {
-        if (order_.empty()) {
-            // A fresh random order each round bounds the time until everyone was probed.
-            order_.assign(ids.begin(), ids.end());
-            for (std::size_t index = order_.size() - 1; index > 0; --index) {
-                std::swap(order_[index], order_[random_.below(index + 1)]);
+        if (probeOrder_.empty()) {
+            // Shuffling once per round bounds the time until every member was probed.
+            probeOrder_.assign(ids.begin(), ids.end());
+            for (std::size_t index = probeOrder_.size() - 1; index > 0; --index) {
+                std::swap(probeOrder_[index], probeOrder_[random_.below(index + 1)]);
             }
         }
-        std::string next = std::move(order_.front());
-        order_.pop_front();
+        std::string next = std::move(probeOrder_.front());
+        probeOrder_.pop_front();
         if (std::find(ids.begin(), ids.end(), next) != ids.end()) {
             return next;
         }
@@ -41,7 +41,7 @@
 std::optional<std::string> ProbeTargets::randomRemote()
 {
     std::set<std::string> dataCentres;
-    for (const std::string &id : members_.probed("")) {
+    for (const std::string &id : members_.activeMembers("")) {
         if (!members_.isLocal(id)) {
             dataCentres.insert(members_.find(id)->update.dataCentre);
         }
@@ -49,9 +49,9 @@
     if (dataCentres.empty()) {
         return std::nullopt;
     }
-    // A data centre first, a member second: small ones are heard as often as large ones.
+    // Choosing the data centre before the member probes small data centres as often as large ones.
     const auto chosen = std::next(dataCentres.begin(), static_cast<std::ptrdiff_t>(random_.below(dataCentres.size())));
-    return pick(members_.probed(*chosen));
+    return pickRandom(members_.activeMembers(*chosen));
 }
 
 std::optional<std::string> ProbeTargets::randomDead()
@@ -62,10 +62,10 @@
             dead.push_back(id);
         }
     }
-    return pick(dead);
+    return pickRandom(dead);
 }
 
-std::optional<std::string> ProbeTargets::pick(const std::vector<std::string> &ids)
+std::optional<std::string> ProbeTargets::pickRandom(const std::vector<std::string> &ids)
 {
     return ids.empty() ? std::nullopt : std::optional{ ids[random_.below(ids.size())] };
 }
--- a/src/portpaddle/membership/probe_targets.h
+++ b/src/portpaddle/membership/probe_targets.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Whom a member of the gossip probes or tells next.
+/// Selects the members that are probed or sent a push next.
 #pragma once
 
 #include <deque>
@@ -14,24 +14,25 @@
 class MemberList;
 class RandomSource;
 
-/// Chooses among the members of a list that outlives it; no value where there is nobody to choose.
+/// Chooses among the members of a list, which must outlive it. Each method returns no value if there is no candidate.
 class ProbeTargets
 {
 public:
     ProbeTargets(const MemberList &members, RandomSource &random);
 
-    /// Each member of the own data centre once in a round, in a fresh random order each time.
+    /// Returns each member of the own data centre once per round; every round has a new random order.
     std::optional<std::string> nextLocal();
-    /// A member of a random other data centre.
+    /// Returns a member of a random other data centre.
     std::optional<std::string> randomRemote();
-    /// A member that is believed dead.
+    /// Returns a random member that is believed dead.
     std::optional<std::string> randomDead();
-    std::optional<std::string> pick(const std::vector<std::string> &ids);
+    /// Returns one of @p ids.
+    std::optional<std::string> pickRandom(const std::vector<std::string> &ids);
 
 private:
     const MemberList &members_;
     RandomSource &random_;
-    std::deque<std::string> order_;
+    std::deque<std::string> probeOrder_;
 };
 
 } // namespace Portpaddle
--- a/tests/introspective/membership_tests.cpp
+++ b/tests/introspective/membership_tests.cpp
@@ -49,10 +49,10 @@
 TEST_CASE("Member list, update about us that says we are suspected or dead, is refuted by a higher incarnation")
 {
     MemberList list(memberOf("self", 5, MemberState::Alive), Millis{ 1 });
-    CHECK(list.apply(memberOf("self", 5, MemberState::Suspect), Millis{ 2 }) == UpdateEffect::RefutesUs);
+    CHECK(list.apply(memberOf("self", 5, MemberState::Suspect), Millis{ 2 }) == UpdateEffect::RefutationNeeded);
     CHECK(list.self().incarnation == 6);
     CHECK(list.apply(memberOf("self", 5, MemberState::Dead), Millis{ 2 }) == UpdateEffect::Nothing);
-    CHECK(list.apply(memberOf("self", 9, MemberState::Alive), Millis{ 2 }) == UpdateEffect::RefutesUs);
+    CHECK(list.apply(memberOf("self", 9, MemberState::Alive), Millis{ 2 }) == UpdateEffect::RefutationNeeded);
     CHECK(list.self().incarnation == 10);
 }
 
@@ -254,7 +254,7 @@
         network.pass(Millis{ 1'000 });
     }
     CHECK(network.bytes / daemons / 20 <= 3'000);
-    CHECK(network.largest <= largestDatagram);
+    CHECK(network.largest <= maxDatagramBytes);
 }
 
 TEST_CASE("Gossip, several seeds of randomness and random cuts, always ends in agreement")
