--- a/src/portpaddle/link/call_frame.cpp
+++ b/src/portpaddle/link/call_frame.cpp
@@ -65,8 +65,8 @@
 
 Call callFromFrame(const Wire::OpenRequestT &frame, Millis now)
 {
-    // A peer cannot hold a request here for longer than the settings allow any request.
-    constexpr std::uint64_t longestRemaining = 86'400'000;
+    // Bounds the deadline that a peer can set to the longest one that the settings allow (one day, in milliseconds).
+    constexpr std::uint64_t maxRemainingMs = 86'400'000;
     Call call;
     call.method = frame.method;
     call.path = frame.path;
@@ -80,7 +80,7 @@
     call.body.assign(frame.body.begin(), frame.body.end());
     call.streamed = frame.streamed;
     call.atMostOnce = frame.at_most_once;
-    // The forwarding daemon holds the claim; this one gets one frame and sends once.
+    // The forwarding daemon holds the claim; this daemon receives a single frame and sends the request once.
     call.claimed = true;
     call.resumeFrom = frame.resume_from;
     call.facts.requestId = frame.request_id;
@@ -91,7 +91,7 @@
     call.facts.expectedTokens = frame.expected_tokens;
     call.facts.visited = frame.visited;
     call.facts.arrivedAt = now;
-    call.facts.deadline = now + Millis{ std::min(frame.remaining_ms, longestRemaining) };
+    call.facts.deadline = now + Millis{ std::min(frame.remaining_ms, maxRemainingMs) };
     return call;
 }
 
@@ -115,7 +115,7 @@
     Error error;
     error.code = errorCodeFromName(frame.code);
     error.message = frame.message;
-    // Anything but a clear "not run" must be taken as "may have run".
+    // Any value but an explicit "not run" must be treated as "may have run".
     error.run = frame.run == static_cast<std::uint8_t>(RunState::NotRun) ? RunState::NotRun : RunState::MayHaveRun;
     if (frame.retry_after_ms > 0) {
         error.retryAfter = Millis{ frame.retry_after_ms };
--- a/src/portpaddle/link/call_frame.h
+++ b/src/portpaddle/link/call_frame.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Turns calls and errors into link frames and back.
+/// Conversion of calls, answers and errors to link frames and back.
 #pragma once
 
 #include "portpaddle/interfaces/attempt_target.h"
@@ -9,9 +9,9 @@
 
 namespace Portpaddle {
 
-/// The frame that opens @p call on another daemon.
+/// Returns the frame that opens @p call on another daemon.
 Wire::OpenRequestT openFrame(const Call &call, const RequestPolicy &policy, std::uint64_t settingsVersion, Millis timeLeft);
-/// The call that @p frame opens; times are counted from @p now.
+/// Returns the call that @p frame opens; it arrives at @p now, from which its deadline is counted.
 Call callFromFrame(const Wire::OpenRequestT &frame, Millis now);
 Wire::AnswerEndT endFrame(std::uint32_t stream, const Status &status);
 Error errorFromFrame(const Wire::AnswerEndT &frame);
--- a/src/portpaddle/link/handshake.cpp
+++ b/src/portpaddle/link/handshake.cpp
@@ -21,7 +21,7 @@
     return nonce;
 }
 
-/// Each side signs under its own role, so that neither proof can be turned round.
+/// Returns the proof of @p signer. The role is part of it, so that a proof cannot be reflected to the side that made it.
 std::vector<std::uint8_t> proof(std::string_view clusterKey, std::string_view role, const std::vector<std::uint8_t> &challenge,
                                 const std::vector<std::uint8_t> &answer, const PeerIdentity &signer)
 {
@@ -53,7 +53,7 @@
     if (!socket.write(frameOf(challenge))) {
         return std::nullopt;
     }
-    const std::optional<Wire::LinkFrameT> frame = socket.read(largestHandshakeFrame);
+    const std::optional<Wire::LinkFrameT> frame = socket.read(maxHandshakeFrameBytes);
     const Wire::HelloT *hello = frame ? frame->body.AsHello() : nullptr;
     if (hello == nullptr || hello->nonce.size() != nonceLength) {
         return std::nullopt;
@@ -71,7 +71,7 @@
 
 std::optional<PeerIdentity> offerHandshake(FrameSocket &socket, const PeerIdentity &self, std::string_view clusterKey)
 {
-    const std::optional<Wire::LinkFrameT> first = socket.read(largestHandshakeFrame);
+    const std::optional<Wire::LinkFrameT> first = socket.read(maxHandshakeFrameBytes);
     const Wire::ChallengeT *challenge = first ? first->body.AsChallenge() : nullptr;
     if (challenge == nullptr || challenge->nonce.size() != nonceLength) {
         return std::nullopt;
@@ -84,7 +84,7 @@
     if (!socket.write(frameOf(hello))) {
         return std::nullopt;
     }
-    const std::optional<Wire::LinkFrameT> second = socket.read(largestHandshakeFrame);
+    const std::optional<Wire::LinkFrameT> second = socket.read(maxHandshakeFrameBytes);
     const Wire::WelcomeT *welcome = second ? second->body.AsWelcome() : nullptr;
     if (welcome == nullptr) {
         return std::nullopt;
--- a/src/portpaddle/link/handshake.h
+++ b/src/portpaddle/link/handshake.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Both ends of a link prove that they hold the cluster key.
+/// Mutual authentication of the ends of a link by the cluster key.
 #pragma once
 
 #include <optional>
@@ -13,16 +13,16 @@
 class FrameSocket;
 class RandomSource;
 
-/// How one daemon names itself to another.
+/// The name and the data centre that a daemon presents to its peer.
 struct PeerIdentity
 {
     std::string node;
     std::string dataCentre;
 };
 
-/// The accepting side; the peer's identity, or none when it could not prove itself.
+/// Runs the accepting side; returns the peer's identity, or no value if authentication failed.
 std::optional<PeerIdentity> acceptHandshake(FrameSocket &socket, const PeerIdentity &self, std::string_view clusterKey);
-/// The connecting side; the peer's identity, or none when it could not prove itself.
+/// Runs the connecting side; returns the peer's identity, or no value if authentication failed.
 std::optional<PeerIdentity> offerHandshake(FrameSocket &socket, const PeerIdentity &self, std::string_view clusterKey);
 
 } // namespace Portpaddle
--- a/src/portpaddle/link/link_frame.cpp
+++ b/src/portpaddle/link/link_frame.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 using LengthWord = std::uint32_t;
-/// A peer that takes no byte for this long is cut off: it is frozen or the path is gone.
+/// A peer that accepts no byte for this long is disconnected: its process is frozen or the network path is lost.
 constexpr timeval writeTimeout{ 5, 0 };
 
 Error unreachable(const SocketAddress &address)
@@ -76,12 +76,12 @@
     const LengthWord length = builder.GetSize();
     std::string bytes(reinterpret_cast<const char *>(&length), sizeof length);
     bytes.append(reinterpret_cast<const char *>(builder.GetBufferPointer()), length);
-    const std::lock_guard lock(writing_);
+    const std::lock_guard lock(writeMutex_);
     std::size_t sent = 0;
     while (sent < bytes.size()) {
         const ssize_t count = send(descriptor_, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
         if (count <= 0) {
-            // Half a frame may have left: nothing may follow it.
+            // Part of the frame may have been sent, so nothing may follow it.
             shutDown();
             return false;
         }
@@ -92,10 +92,10 @@
     return true;
 }
 
-std::optional<Wire::LinkFrameT> FrameSocket::read(std::size_t largest)
+std::optional<Wire::LinkFrameT> FrameSocket::read(std::size_t maxBytes)
 {
     LengthWord length = 0;
-    if (!readExactly(reinterpret_cast<char *>(&length), sizeof length) || length == 0 || length > largest) {
+    if (!readExactly(reinterpret_cast<char *>(&length), sizeof length) || length == 0 || length > maxBytes) {
         return std::nullopt;
     }
     std::vector<std::uint8_t> bytes(length);
@@ -125,16 +125,16 @@
 
 bool FrameSocket::readExactly(char *into, std::size_t size)
 {
-    std::size_t got = 0;
-    while (got < size) {
-        const ssize_t count = recv(descriptor_, into + got, size - got, 0);
+    std::size_t received = 0;
+    while (received < size) {
+        const ssize_t count = recv(descriptor_, into + received, size - received, 0);
         if (count < 0 && errno == EINTR) {
             continue;
         }
         if (count <= 0) {
             return false;
         }
-        got += static_cast<std::size_t>(count);
+        received += static_cast<std::size_t>(count);
     }
     return true;
 }
--- a/src/portpaddle/link/link_frame.h
+++ b/src/portpaddle/link/link_frame.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Frames on the TCP links between daemons: a length and a FlatBuffer.
+/// Frames on the TCP links between daemons: a length word and a FlatBuffer.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -17,13 +17,13 @@
 
 class Metrics;
 
-/// Larger frames end the link. A request's body travels in one frame.
-inline constexpr std::size_t largestLinkFrame = 9 * 1024 * 1024;
+/// Largest frame, in bytes; a larger one ends the link. A frame must hold a whole request body.
+inline constexpr std::size_t maxLinkFrameBytes = 9 * 1024 * 1024;
 
-/// Until a peer has proved itself it may not make this daemon allocate more than this.
-inline constexpr std::size_t largestHandshakeFrame = 4096;
+/// Largest frame of a peer that is not authenticated yet, in bytes; bounds what it can make this daemon allocate.
+inline constexpr std::size_t maxHandshakeFrameBytes = 4096;
 
-/// A connected socket that carries frames. Reading belongs to one thread, writing is serialised.
+/// A connected socket that carries frames. Only one thread may read; writes are serialised.
 class FrameSocket
 {
 public:
@@ -32,16 +32,16 @@
     FrameSocket &operator=(const FrameSocket &) = delete;
     ~FrameSocket();
 
-    /// Connects within @p timeout.
+    /// Connects within @p timeout; returns the descriptor or PeerUnreachable.
     static Result<int> connectTo(const SocketAddress &address, Millis timeout);
 
-    /// False when the peer is gone or takes nothing for too long.
+    /// Sends a frame; returns false if the link is closed or the peer accepts no bytes before the write timeout.
     bool write(const Wire::LinkFrameT &frame);
-    /// The next frame; none when the link ended or the peer broke the protocol.
-    std::optional<Wire::LinkFrameT> read(std::size_t largest = largestLinkFrame);
-    /// How long read() may wait for bytes; zero waits without bound.
+    /// Returns the next frame, or no value if the link ended or the peer violated the protocol.
+    std::optional<Wire::LinkFrameT> read(std::size_t maxBytes = maxLinkFrameBytes);
+    /// Sets how long read() may wait for bytes; zero waits without bound.
     void setReadTimeout(Millis timeout);
-    /// Ends the link from any thread; read() and write() return.
+    /// Shuts the link down, from any thread; pending read() and write() calls return.
     void shutDown();
 
 private:
@@ -49,10 +49,10 @@
 
     const int descriptor_;
     Metrics &metrics_;
-    std::mutex writing_;
+    std::mutex writeMutex_;
 };
 
-/// A frame with @p body.
+/// Returns a frame with @p body.
 template<typename Body>
 Wire::LinkFrameT frameOf(Body body)
 {
--- a/src/portpaddle/link/link_server.cpp
+++ b/src/portpaddle/link/link_server.cpp
@@ -21,26 +21,26 @@
 
 namespace {
 
-constexpr std::size_t maximumWorkers = 1024;
-constexpr std::size_t maximumLinks = 1024;
-constexpr std::size_t maximumStreamsPerLink = 1024;
-constexpr std::size_t largestDataFrame = 16 * 1024;
-constexpr std::uint32_t largestCredit = 16 * 1024 * 1024;
+constexpr std::size_t maxWorkers = 1024;
+constexpr std::size_t maxLinks = 1024;
+constexpr std::size_t maxStreamsPerLink = 1024;
+constexpr std::size_t maxDataFrameBytes = 16 * 1024;
+constexpr std::uint32_t maxCredit = 16 * 1024 * 1024;
 constexpr int listenBacklog = 256;
 constexpr Millis handshakeTimeout{ 2'000 };
 constexpr Millis acceptCheckInterval{ 100 };
 
-Error refused(ErrorCode code, std::string message)
+Error notRun(ErrorCode code, std::string message)
 {
     return Error{ code, std::move(message), RunState::NotRun, std::nullopt };
 }
 
-/// Sends one answer as frames, no faster than the other side gave credit for.
+/// Sends one answer as frames, limited by the flow-control credit that the peer granted.
 class LinkAnswerSink : public AnswerSink
 {
 public:
     LinkAnswerSink(std::shared_ptr<FrameSocket> socket, std::uint32_t stream, std::uint32_t credit)
-        : socket_(std::move(socket)), stream_(stream), credit_(std::min(credit, largestCredit))
+        : socket_(std::move(socket)), stream_(stream), credit_(std::min(credit, maxCredit))
     {
     }
 
@@ -52,7 +52,7 @@
     bool data(std::string_view bytes) override
     {
         while (!bytes.empty()) {
-            const std::size_t size = takeCredit(std::min(bytes.size(), largestDataFrame));
+            const std::size_t size = takeCredit(std::min(bytes.size(), maxDataFrameBytes));
             if (size == 0) {
                 return false;
             }
@@ -70,14 +70,14 @@
     bool receiverGone() const override
     {
         const std::lock_guard lock(mutex_);
-        return gone_;
+        return receiverGone_;
     }
 
     void onReceiverGone(std::function<void()> hook) override
     {
         const std::lock_guard lock(mutex_);
         hook_ = std::move(hook);
-        if (gone_ && hook_) {
+        if (receiverGone_ && hook_) {
             hook_();
         }
     }
@@ -85,17 +85,17 @@
     void addCredit(std::uint32_t bytes)
     {
         const std::lock_guard lock(mutex_);
-        credit_ = std::min(largestCredit, credit_ + std::min(bytes, largestCredit));
+        credit_ = std::min(maxCredit, credit_ + std::min(bytes, maxCredit));
         changed_.notify_all();
     }
 
     void cancel()
     {
         const std::lock_guard lock(mutex_);
-        if (gone_) {
+        if (receiverGone_) {
             return;
         }
-        gone_ = true;
+        receiverGone_ = true;
         changed_.notify_all();
         if (hook_) {
             hook_();
@@ -106,8 +106,8 @@
     std::size_t takeCredit(std::size_t wanted)
     {
         std::unique_lock lock(mutex_);
-        changed_.wait(lock, [this] { return gone_ || credit_ > 0; });
-        if (gone_) {
+        changed_.wait(lock, [this] { return receiverGone_ || credit_ > 0; });
+        if (receiverGone_) {
             return 0;
         }
         const std::size_t taken = std::min<std::size_t>(wanted, credit_);
@@ -121,7 +121,7 @@
     std::condition_variable changed_;
     std::uint32_t credit_;
     std::function<void()> hook_;
-    bool gone_ = false;
+    bool receiverGone_ = false;
 };
 
 } // namespace
@@ -133,26 +133,26 @@
     const RequestPolicy &policy = settings.policy(facts.organisation, facts.service);
     const Place &place = settings.place();
     if (draining) {
-        return refused(ErrorCode::Stopping, "this VM is stopping");
+        return notRun(ErrorCode::Stopping, "this VM is stopping");
     }
     if (settingsVersion > settings.version()) {
-        return refused(ErrorCode::SettingsTooOld, fmt::format("version {} is not in force here yet", settingsVersion));
+        return notRun(ErrorCode::SettingsTooOld, fmt::format("settings version {} is not in force here yet", settingsVersion));
     }
     if (std::find(facts.visited.begin(), facts.visited.end(), place.dataCentre) != facts.visited.end()) {
-        return refused(ErrorCode::LoopRefused, "the request was here before");
+        return notRun(ErrorCode::LoopRefused, "the request has already visited this data centre");
     }
     if (facts.visited.size() > policy.hopLimit) {
-        return refused(ErrorCode::HopLimitReached, "the request was forwarded too often");
+        return notRun(ErrorCode::HopLimitReached, "the request exceeds its hop limit");
     }
     const bool senderForbids
         = !residency.empty() && std::find(residency.begin(), residency.end(), place.region) == residency.end();
     if (senderForbids || !policy.allowsRegion(place.region)) {
-        return refused(ErrorCode::ResidencyForbids, "the request must not be served from this region");
+        return notRun(ErrorCode::ResidencyForbids, "the request must not be served from this region");
     }
     return std::nullopt;
 }
 
-/// One link of another daemon.
+/// One link from another daemon.
 class LinkServer::Session
 {
 public:
@@ -190,7 +190,7 @@
             peer_ = *peer;
             socket_->setReadTimeout(Millis{ 0 });
             while (std::optional<Wire::LinkFrameT> frame = socket_->read()) {
-                if (!take(*frame)) {
+                if (!handle(*frame)) {
                     logEvent(LogEvent::LinkRejected, { { "peer", peer_.node } });
                     break;
                 }
@@ -201,19 +201,19 @@
         ended_ = true;
     }
 
-    /// False when the peer broke the protocol.
-    bool take(const Wire::LinkFrameT &frame)
+    /// Handles a frame; returns false if the peer violated the protocol or the link failed.
+    bool handle(const Wire::LinkFrameT &frame)
     {
         switch (frame.body.type) {
         case Wire::LinkBody::OpenRequest:
-            return open(*frame.body.AsOpenRequest());
+            return openRequest(*frame.body.AsOpenRequest());
         case Wire::LinkBody::AnswerCredit:
             return withStream(frame.body.AsAnswerCredit()->stream,
                               [&](LinkAnswerSink &sink) { sink.addCredit(frame.body.AsAnswerCredit()->bytes); });
         case Wire::LinkBody::CancelRequest:
             return withStream(frame.body.AsCancelRequest()->stream, [](LinkAnswerSink &sink) { sink.cancel(); });
         case Wire::LinkBody::Query:
-            return answer(*frame.body.AsQuery());
+            return replyTo(*frame.body.AsQuery());
         default:
             return false;
         }
@@ -230,7 +230,7 @@
         return true;
     }
 
-    bool open(const Wire::OpenRequestT &frame)
+    bool openRequest(const Wire::OpenRequestT &frame)
     {
         const LinkServerParts &parts = server_.parts_;
         parts.metrics.count(Counter::ReceivedFromPeers);
@@ -250,19 +250,19 @@
         const auto sink = std::make_shared<LinkAnswerSink>(socket_, frame.stream, frame.credit);
         {
             const std::lock_guard lock(mutex_);
-            if (streams_.size() >= maximumStreamsPerLink || !streams_.emplace(frame.stream, sink).second) {
+            if (streams_.size() >= maxStreamsPerLink || !streams_.emplace(frame.stream, sink).second) {
                 return false;
             }
         }
         const auto guard = std::make_shared<ActivityGuard>(server_.activity_);
-        runs_.begin();
+        activeRuns_.begin();
         const bool taken = server_.workers_.submit([this, guard, sink, stream = frame.stream, call = std::move(call)]() mutable {
             run(std::move(call), *sink, stream);
         });
         if (!taken) {
-            runs_.end();
-            forget(frame.stream);
-            Error full = refused(ErrorCode::Overloaded, "this VM serves as many requests as it can");
+            activeRuns_.end();
+            removeStream(frame.stream);
+            Error full = notRun(ErrorCode::Overloaded, "this VM has reached its limit of forwarded requests");
             full.retryAfter = Millis{ 1000 };
             return socket_->write(frameOf(endFrame(frame.stream, full)));
         }
@@ -272,20 +272,20 @@
     void run(Call call, LinkAnswerSink &sink, std::uint32_t stream)
     {
         const Status status = server_.parts_.dispatcher.run(std::move(call), sink);
-        forget(stream);
+        removeStream(stream);
         socket_->write(frameOf(endFrame(stream, status)));
-        runs_.end();
+        activeRuns_.end();
     }
 
-    void forget(std::uint32_t stream)
+    void removeStream(std::uint32_t stream)
     {
         const std::lock_guard lock(mutex_);
         streams_.erase(stream);
     }
 
-    bool answer(const Wire::QueryT &query)
+    bool replyTo(const Wire::QueryT &query)
     {
-        // Queries are answered out of memory and in order; a ping behind them proves that the link lives.
+        // Queries are answered from memory and in order, so the reply to a later ping proves that the link is alive.
         const std::optional<std::string> text = server_.parts_.answerQuery(peer_, query.kind, query.argument);
         Wire::ReplyT reply;
         reply.stream = query.stream;
@@ -302,21 +302,21 @@
                 sink->cancel();
             }
         }
-        // The runs that use this session end before it does.
-        runs_.waitUntilIdle();
+        // The session must outlive the runs that use it.
+        activeRuns_.waitUntilIdle();
     }
 
     LinkServer &server_;
     std::shared_ptr<FrameSocket> socket_;
     PeerIdentity peer_;
     std::mutex mutex_;
-    ActivityCounter runs_;
+    ActivityCounter activeRuns_;
     std::unordered_map<std::uint32_t, std::shared_ptr<LinkAnswerSink>> streams_;
     std::atomic<bool> ended_{ false };
     Thread thread_;
 };
 
-LinkServer::LinkServer(LinkServerParts parts) : parts_(std::move(parts)), workers_("link-run", maximumWorkers, 0)
+LinkServer::LinkServer(LinkServerParts parts) : parts_(std::move(parts)), workers_("link-run", maxWorkers, 0)
 {
 }
 
@@ -329,16 +329,16 @@
 {
     const Error failed{ ErrorCode::Internal, fmt::format("cannot listen for links at {}", toText(address)), RunState::NotRun,
                         std::nullopt };
-    listening_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    listener_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const int enabled = 1;
-    setsockopt(listening_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+    setsockopt(listener_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
     sockaddr_in native = toNative(address);
-    if (listening_ < 0 || bind(listening_, reinterpret_cast<const sockaddr *>(&native), sizeof native) != 0
-        || listen(listening_, listenBacklog) != 0) {
+    if (listener_ < 0 || bind(listener_, reinterpret_cast<const sockaddr *>(&native), sizeof native) != 0
+        || listen(listener_, listenBacklog) != 0) {
         return failed;
     }
     socklen_t length = sizeof native;
-    getsockname(listening_, reinterpret_cast<sockaddr *>(&native), &length);
+    getsockname(listener_, reinterpret_cast<sockaddr *>(&native), &length);
     acceptor_ = Thread("link-accept", [this] { acceptLinks(); });
     return fromNative(native);
 }
@@ -354,8 +354,8 @@
         return;
     }
     acceptor_.join();
-    if (listening_ >= 0) {
-        close(listening_);
+    if (listener_ >= 0) {
+        close(listener_);
     }
     {
         const std::lock_guard lock(mutex_);
@@ -370,17 +370,17 @@
 void LinkServer::acceptLinks()
 {
     while (!stopping_) {
-        pollfd waiting{ listening_, POLLIN, 0 };
-        reapSessions();
+        pollfd waiting{ listener_, POLLIN, 0 };
+        removeEndedSessions();
         if (poll(&waiting, 1, static_cast<int>(acceptCheckInterval.count())) != 1) {
             continue;
         }
-        const int descriptor = accept4(listening_, nullptr, nullptr, SOCK_CLOEXEC);
+        const int descriptor = accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
         if (descriptor < 0) {
             continue;
         }
         const std::lock_guard lock(mutex_);
-        if (sessions_.size() >= maximumLinks) {
+        if (sessions_.size() >= maxLinks) {
             close(descriptor);
             continue;
         }
@@ -388,7 +388,7 @@
     }
 }
 
-void LinkServer::reapSessions()
+void LinkServer::removeEndedSessions()
 {
     const std::lock_guard lock(mutex_);
     std::erase_if(sessions_, [](const std::unique_ptr<Session> &session) { return session->ended(); });
--- a/src/portpaddle/link/link_server.h
+++ b/src/portpaddle/link/link_server.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The accepting end of links: checks every forwarded request again and runs it here.
+/// The accepting end of links, which checks every forwarded request again and runs it on this daemon.
 #pragma once
 
 #include "portpaddle/base/activity_counter.h"
@@ -26,11 +26,11 @@
 class Dispatcher;
 class Metrics;
 
-/// Answers a query of another daemon; no value when there is nothing to tell.
+/// Answers a query of another daemon; returns no value if there is no answer.
 using QueryHandler
     = std::function<std::optional<std::string>(const PeerIdentity &peer, const std::string &kind, const std::string &argument)>;
 
-/// What the link server works with; all must outlive it.
+/// The dependencies of the link server; the referenced objects must outlive it.
 struct LinkServerParts
 {
     PeerIdentity self;
@@ -40,15 +40,15 @@
     Metrics &metrics;
     Dispatcher &dispatcher;
     QueryHandler answerQuery;
-    /// Called when a request came under settings that are newer than those in force here.
+    /// Called when a request was forwarded under settings newer than those in force here.
     std::function<void(const std::string &daemon, std::uint64_t version)> onNewerSettings;
 };
 
-/// Why a forwarded request must not run here, if so. Pure but for the settings it is given.
+/// Returns the reason why a forwarded request must not run here, or no value if it may. Depends on the arguments only.
 std::optional<Error> checkForwarded(const Call &call, const std::vector<std::string> &residency, std::uint64_t settingsVersion,
                                     const CompiledSettings &settings, bool draining);
 
-/// Accepts links of other daemons.
+/// Accepts links from other daemons and runs the requests that they forward.
 class LinkServer
 {
 public:
@@ -56,7 +56,7 @@
     ~LinkServer();
 
     Result<SocketAddress> start(const SocketAddress &address);
-    /// Waits for the forwarded requests in progress.
+    /// Waits until no forwarded request is in progress.
     void finishRequests();
     void stop();
 
@@ -64,11 +64,11 @@
     class Session;
 
     void acceptLinks();
-    void reapSessions();
+    void removeEndedSessions();
 
     LinkServerParts parts_;
     WorkerPool workers_;
-    int listening_ = -1;
+    int listener_ = -1;
     std::atomic<bool> stopping_{ false };
     ActivityCounter activity_;
     std::mutex mutex_;
--- a/src/portpaddle/link/peer_connection.cpp
+++ b/src/portpaddle/link/peer_connection.cpp
@@ -13,15 +13,15 @@
 
 namespace {
 
-/// What the peer may send ahead of the caller's reading.
+/// Bytes that the peer may send before the caller has read them.
 constexpr std::uint32_t streamCredit = 64 * 1024;
-/// Room beyond the credit for heads and ends.
-constexpr std::size_t largestBacklog = 2 * streamCredit;
+/// Bytes that may be queued for one stream: the credit and room for the frames of the head and the end.
+constexpr std::size_t maxQueuedBytes = 2 * streamCredit;
 constexpr Millis checkInterval{ 200 };
-/// A silent link with open requests is probed after this time and given up after the other.
+/// A silent link with open requests is pinged after `pingAfter` and closed after `closeAfter`.
 constexpr Millis pingAfter{ 1'000 };
-constexpr Millis lostAfter{ 4'000 };
-/// Stream of frames that belong to the link itself.
+constexpr Millis closeAfter{ 4'000 };
+/// Stream id of frames that belong to the link itself.
 constexpr std::uint32_t linkStream = 0;
 
 AttemptResult broken(std::string message)
@@ -58,8 +58,8 @@
     : socket_(std::move(socket))
     , peer_(std::move(peer))
     , clock_(clock)
-    , heardAt_(clock.monotonic().count())
-    , pingedAt_(clock.monotonic().count())
+    , lastReceivedAt_(clock.monotonic().count())
+    , lastPingAt_(clock.monotonic().count())
 {
     reader_ = Thread("link-read", [this] { readFrames(); });
 }
@@ -79,19 +79,19 @@
     open.credit = streamCredit;
     if (!socket_->write(frameOf(std::move(open)))) {
         closeStream(id);
-        // The frame did not leave whole, and the peer acts on whole frames only.
+        // The frame was not sent completely, and the peer acts on complete frames only.
         return AttemptResult{ AttemptEnd::NotRun,
-                              Error{ ErrorCode::PeerUnreachable, "the link broke before the request left", RunState::NotRun,
+                              Error{ ErrorCode::PeerUnreachable, "the link failed before the request was sent", RunState::NotRun,
                                      std::nullopt } };
     }
-    AttemptResult result = carry(id, *stream, until, sink);
+    AttemptResult result = relayAnswer(id, *stream, until, sink);
     closeStream(id);
     return result;
 }
 
 Result<std::optional<std::string>> PeerConnection::ask(const std::string &kind, const std::string &argument, Millis timeout)
 {
-    const Error unanswered{ ErrorCode::PeerUnreachable, "the other daemon does not answer", RunState::NotRun, std::nullopt };
+    const Error noAnswer{ ErrorCode::PeerUnreachable, "the peer daemon does not answer", RunState::NotRun, std::nullopt };
     const auto stream = std::make_shared<Stream>();
     const std::uint32_t id = openStream(stream);
     Wire::QueryT query;
@@ -99,11 +99,11 @@
     query.kind = kind;
     query.argument = argument;
     const bool sent = socket_->write(frameOf(std::move(query)));
-    const std::optional<Wire::LinkFrameT> frame = sent ? await(*stream, clock_.monotonic() + timeout) : std::nullopt;
+    const std::optional<Wire::LinkFrameT> frame = sent ? awaitFrame(*stream, clock_.monotonic() + timeout) : std::nullopt;
     closeStream(id);
     const Wire::ReplyT *reply = frame ? frame->body.AsReply() : nullptr;
     if (reply == nullptr) {
-        return unanswered;
+        return noAnswer;
     }
     return reply->found ? std::optional{ reply->text } : std::optional<std::string>{};
 }
@@ -121,7 +121,7 @@
 void PeerConnection::readFrames()
 {
     while (std::optional<Wire::LinkFrameT> frame = socket_->read()) {
-        heardAt_ = clock_.monotonic().count();
+        lastReceivedAt_ = clock_.monotonic().count();
         const std::uint32_t id = streamOf(*frame);
         if (id != linkStream) {
             deliver(id, std::move(*frame));
@@ -130,7 +130,7 @@
     open_ = false;
     const std::lock_guard lock(mutex_);
     for (auto &[id, stream] : streams_) {
-        stream->lost = true;
+        stream->failed = true;
         stream->arrived.notify_all();
     }
     logEvent(LogEvent::LinkClosed, { { "peer", peer_.node } });
@@ -140,14 +140,14 @@
 {
     const std::lock_guard lock(mutex_);
     const auto found = streams_.find(id);
-    // Frames of a stream that ended come late: they belong to nobody and must reach nobody.
+    // Late frames of a stream that was closed are dropped.
     if (found == streams_.end()) {
         return;
     }
     Stream &stream = *found->second;
-    stream.waitingBytes += bytesOf(frame);
-    if (stream.waitingBytes > largestBacklog) {
-        stream.lost = true;
+    stream.queuedBytes += bytesOf(frame);
+    if (stream.queuedBytes > maxQueuedBytes) {
+        stream.failed = true;
     } else {
         stream.frames.push_back(std::move(frame));
     }
@@ -157,7 +157,7 @@
 std::uint32_t PeerConnection::openStream(const std::shared_ptr<Stream> &stream)
 {
     const std::lock_guard lock(mutex_);
-    stream->lost = !open_;
+    stream->failed = !open_;
     streams_[++nextStream_] = stream;
     return nextStream_;
 }
@@ -168,10 +168,10 @@
     streams_.erase(id);
 }
 
-std::optional<Wire::LinkFrameT> PeerConnection::await(Stream &stream, Millis until)
+std::optional<Wire::LinkFrameT> PeerConnection::awaitFrame(Stream &stream, Millis until)
 {
     std::unique_lock lock(mutex_);
-    while (stream.frames.empty() && !stream.lost) {
+    while (stream.frames.empty() && !stream.failed) {
         if (clock_.monotonic() >= until) {
             return std::nullopt;
         }
@@ -185,28 +185,28 @@
     }
     Wire::LinkFrameT frame = std::move(stream.frames.front());
     stream.frames.pop_front();
-    stream.waitingBytes -= bytesOf(frame);
+    stream.queuedBytes -= bytesOf(frame);
     return frame;
 }
 
 void PeerConnection::checkPeerIsAlive()
 {
     const std::int64_t now = clock_.monotonic().count();
-    const std::int64_t silence = now - heardAt_;
-    if (silence > lostAfter.count()) {
+    const std::int64_t silence = now - lastReceivedAt_;
+    if (silence > closeAfter.count()) {
         socket_->shutDown();
         return;
     }
-    std::int64_t pinged = pingedAt_;
-    const bool due = silence > pingAfter.count() && now - pinged > pingAfter.count();
-    if (due && pingedAt_.compare_exchange_strong(pinged, now)) {
+    std::int64_t lastPing = lastPingAt_;
+    const bool due = silence > pingAfter.count() && now - lastPing > pingAfter.count();
+    if (due && lastPingAt_.compare_exchange_strong(lastPing, now)) {
         Wire::QueryT ping;
         ping.kind = "ping";
         socket_->write(frameOf(std::move(ping)));
     }
 }
 
-AttemptResult PeerConnection::carry(std::uint32_t id, Stream &stream, Millis until, AnswerSink &sink)
+AttemptResult PeerConnection::relayAnswer(std::uint32_t id, Stream &stream, Millis until, AnswerSink &sink)
 {
     const auto cancel = [&] {
         Wire::CancelRequestT frame;
@@ -214,13 +214,13 @@
         socket_->write(frameOf(frame));
     };
     sink.onReceiverGone(cancel);
-    AttemptResult result = broken("the link to the other data centre broke");
-    while (const std::optional<Wire::LinkFrameT> frame = await(stream, until)) {
-        bool receiverThere = true;
+    AttemptResult result = broken("the link to the other data centre failed");
+    while (const std::optional<Wire::LinkFrameT> frame = awaitFrame(stream, until)) {
+        bool receiverPresent = true;
         if (const Wire::AnswerHeadT *head = frame->body.AsAnswerHead()) {
-            receiverThere = sink.head(headFromFrame(*head));
+            receiverPresent = sink.head(headFromFrame(*head));
         } else if (const Wire::AnswerDataT *data = frame->body.AsAnswerData()) {
-            receiverThere = sink.data(std::string_view(reinterpret_cast<const char *>(data->bytes.data()), data->bytes.size()));
+            receiverPresent = sink.data(std::string_view(reinterpret_cast<const char *>(data->bytes.data()), data->bytes.size()));
             Wire::AnswerCreditT credit;
             credit.stream = id;
             credit.bytes = static_cast<std::uint32_t>(data->bytes.size());
@@ -233,7 +233,7 @@
             }
             break;
         }
-        if (!receiverThere) {
+        if (!receiverPresent) {
             cancel();
             result = AttemptResult{ AttemptEnd::ReceiverGone,
                                     Error{ ErrorCode::Cancelled, "the caller went away", RunState::MayHaveRun, std::nullopt } };
--- a/src/portpaddle/link/peer_connection.h
+++ b/src/portpaddle/link/peer_connection.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The connecting end of a link: many requests at once, each with its own flow control.
+/// The connecting end of a link, which carries many requests at once, each with its own flow control.
 #pragma once
 
 #include "portpaddle/base/thread.h"
@@ -20,27 +20,28 @@
 
 class Clock;
 
-/// One authenticated link to a daemon. Thread-safe.
+/// An authenticated link to a daemon. Thread-safe.
 class PeerConnection
 {
 public:
     PeerConnection(std::unique_ptr<FrameSocket> socket, PeerIdentity peer, const Clock &clock);
     ~PeerConnection();
 
-    /// Runs a call on the peer; the calling thread carries the answer to @p sink.
+    /// Runs a call on the peer; the calling thread passes the answer to @p sink.
     AttemptResult run(Wire::OpenRequestT open, Millis timeLeft, AnswerSink &sink);
-    /// Asks the peer; no value when it has no answer.
+    /// Sends a query to the peer; the value is empty if the peer has no answer.
     Result<std::optional<std::string>> ask(const std::string &kind, const std::string &argument, Millis timeout);
     bool isOpen() const;
     const PeerIdentity &peer() const;
 
 private:
-    /// Frames that arrived for one stream; what may wait here is bounded by the credit given.
+    /// Frames received for one stream and not yet read; the granted credit bounds their size.
     struct Stream
     {
         std::deque<Wire::LinkFrameT> frames;
-        std::size_t waitingBytes = 0;
-        bool lost = false;
+        std::size_t queuedBytes = 0;
+        /// Whether the link was lost or the peer exceeded its credit.
+        bool failed = false;
         std::condition_variable arrived;
     };
 
@@ -48,10 +49,11 @@
     void deliver(std::uint32_t id, Wire::LinkFrameT frame);
     std::uint32_t openStream(const std::shared_ptr<Stream> &stream);
     void closeStream(std::uint32_t id);
-    /// The next frame of a stream; none when the link is lost or @p until has passed.
-    std::optional<Wire::LinkFrameT> await(Stream &stream, Millis until);
+    /// Waits for the next frame of a stream; returns no value if the stream failed or @p until has passed.
+    std::optional<Wire::LinkFrameT> awaitFrame(Stream &stream, Millis until);
+    /// Pings a silent peer, and shuts the link down if the silence lasts.
     void checkPeerIsAlive();
-    AttemptResult carry(std::uint32_t id, Stream &stream, Millis until, AnswerSink &sink);
+    AttemptResult relayAnswer(std::uint32_t id, Stream &stream, Millis until, AnswerSink &sink);
 
     std::unique_ptr<FrameSocket> socket_;
     const PeerIdentity peer_;
@@ -60,8 +62,8 @@
     std::unordered_map<std::uint32_t, std::shared_ptr<Stream>> streams_;
     std::uint32_t nextStream_ = 0;
     std::atomic<bool> open_{ true };
-    std::atomic<std::int64_t> heardAt_;
-    std::atomic<std::int64_t> pingedAt_;
+    std::atomic<std::int64_t> lastReceivedAt_;
+    std::atomic<std::int64_t> lastPingAt_;
     Thread reader_;
 };
 
--- a/src/portpaddle/link/peer_links.cpp
+++ b/src/portpaddle/link/peer_links.cpp
@@ -18,10 +18,10 @@
 
 constexpr Millis connectTimeout{ 800 };
 constexpr Millis askTimeout{ 2'000 };
-/// A daemon that could not be reached is not tried again within this time.
-constexpr Millis retryInterval{ 1'000 };
-/// Daemons of a data centre that are tried for one call.
-constexpr std::size_t candidatesTried = 2;
+/// A daemon to which connecting failed is not tried again within this time.
+constexpr Millis reconnectDelay{ 1'000 };
+/// Number of daemons of a data centre that are tried for one call.
+constexpr std::size_t maxTriedCandidates = 2;
 
 Error unreachable(const std::string &what)
 {
@@ -41,7 +41,7 @@
     const Millis begin = clock_.monotonic();
     std::size_t tried = 0;
     for (const MemberView &member : candidates(dataCentre)) {
-        if (tried++ == candidatesTried) {
+        if (tried++ == maxTriedCandidates) {
             break;
         }
         const Result<std::shared_ptr<PeerConnection>> link = connection(member);
@@ -83,7 +83,7 @@
             result.push_back(member);
         }
     }
-    // Each daemon prefers others: together they spread over the whole data centre with few links each.
+    // Each daemon has its own order: together they use all daemons of the data centre with few links each.
     const std::uint64_t key = stableHash(self_.node);
     std::sort(result.begin(), result.end(), [&](const MemberView &left, const MemberView &right) {
         return rendezvousScore(key, stableHash(left.id), 1) > rendezvousScore(key, stableHash(right.id), 1);
@@ -100,11 +100,11 @@
             return found->second;
         }
         const auto failed = failedAt_.find(member.id);
-        if (failed != failedAt_.end() && clock_.monotonic() < failed->second + retryInterval) {
+        if (failed != failedAt_.end() && clock_.monotonic() < failed->second + reconnectDelay) {
             return unreachable(member.id);
         }
     }
-    // Connecting happens outside the lock: a peer that does not answer must not hold up links to others.
+    // Connecting happens outside the lock: a peer that does not answer must not delay links to others.
     const auto fail = [&]() -> Error {
         const std::lock_guard lock(mutex_);
         failedAt_[member.id] = clock_.monotonic();
@@ -121,7 +121,7 @@
     auto socket = std::make_unique<FrameSocket>(valueOf(descriptor), metrics_);
     socket->setReadTimeout(connectTimeout);
     const std::optional<PeerIdentity> peer = offerHandshake(*socket, self_, clusterKey_);
-    // An address may belong to another daemon by now; requests must not go to a place other than the one decided on.
+    // The address may belong to another daemon by now; requests must not go to a daemon other than the chosen one.
     if (!peer || peer->node != member.id || peer->dataCentre != member.dataCentre) {
         logEvent(LogEvent::LinkRejected, { { "peer", member.id } });
         return fail();
@@ -131,7 +131,7 @@
     logEvent(LogEvent::LinkOpened, { { "peer", member.id } });
     const std::lock_guard lock(mutex_);
     std::shared_ptr<PeerConnection> &kept = connections_[member.id];
-    // Two requests may have connected at once: the first link stays, the second is used by its own request alone.
+    // Two requests may have connected at once: the first link is kept, the second is used by its own request only.
     if (kept && kept->isOpen()) {
         return link;
     }
--- a/src/portpaddle/link/peer_links.h
+++ b/src/portpaddle/link/peer_links.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Links to the daemons of other data centres, opened when needed and kept.
+/// Links to other daemons, opened on demand and kept open.
 #pragma once
 
 #include "portpaddle/interfaces/attempt_target.h"
@@ -18,7 +18,7 @@
 class Clock;
 class Metrics;
 
-/// Forwards calls and asks other daemons.
+/// Forwards calls to other data centres and sends queries to other daemons.
 class PeerLinks : public PeerForwarder
 {
 public:
@@ -26,13 +26,14 @@
 
     AttemptResult forward(const std::string &dataCentre, const Call &call, const RequestPolicy &policy, Millis timeLeft,
                           AnswerSink &sink) override;
-    /// Asks one daemon by its name.
+    /// Sends a query to the daemon named @p daemon; the value is empty if it has no answer.
     Result<std::optional<std::string>> ask(const std::string &daemon, const std::string &kind, const std::string &argument);
     void closeAll();
 
 private:
-    /// Members of a data centre that may be asked, in this daemon's own order of preference.
+    /// Returns the usable members of a data centre in this daemon's order of preference.
     std::vector<MemberView> candidates(const std::string &dataCentre) const;
+    /// Returns the open link to @p member, or connects to it.
     Result<std::shared_ptr<PeerConnection>> connection(const MemberView &member);
 
     const PeerIdentity self_;
