--- a/src/portpaddle/control/audit_trail.cpp
+++ b/src/portpaddle/control/audit_trail.cpp
@@ -112,7 +112,7 @@
     const std::string key = fmt::format("{}{:015}-{}-{}", auditPrefix, entry.wallMs, daemon_, number);
     const std::string text = toJson(entry).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     const Result<std::uint64_t> written = store_.put(key, text, mustBeAbsent, lease_);
-    // The key is this entry's own: a conflict means that an earlier write with a lost reply took effect.
+    // The key is unique to this entry: a conflict means that an earlier write succeeded and its reply was lost.
     return isOk(written) || errorOf(written).code == ErrorCode::VersionConflict;
 }
 
--- a/src/portpaddle/control/audit_trail.h
+++ b/src/portpaddle/control/audit_trail.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What operators did besides changing settings, kept in the platform's store.
+/// Log of operator actions other than settings changes, kept in the platform's store.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -19,7 +19,7 @@
 class Clock;
 class KeyValueStore;
 
-/// One act of an operator.
+/// One action of an operator.
 struct AuditEntry
 {
     std::int64_t wallMs = 0;
@@ -33,17 +33,19 @@
 
 nlohmann::json toJson(const AuditEntry &entry);
 
-/// Entries live ninety days under the platform's leases; while the platform is away they wait in memory, up to a bound.
+/// Stores entries for ninety days by leases. While the platform is unavailable, a bounded number of entries is kept in memory.
 class AuditTrail
 {
 public:
     AuditTrail(KeyValueStore &store, const Clock &clock, std::string daemon);
 
+    /// Adds the time and the daemon to an entry and stores it.
     void record(AuditEntry entry);
-    /// Writes what waits; called now and then.
+    /// Tries to store the waiting entries; to be called from time to time.
     void flush();
-    /// The newest entries first, at most @p limit.
+    /// Returns at most @p limit entries, newest first.
     Result<std::vector<AuditEntry>> newest(std::size_t limit);
+    /// Returns the number of entries that are not stored yet.
     std::size_t waiting() const;
 
 private:
--- a/src/portpaddle/control/membership_controller.cpp
+++ b/src/portpaddle/control/membership_controller.cpp
@@ -20,10 +20,10 @@
 namespace {
 
 constexpr Millis tickInterval{ 50 };
-/// How often summaries, demand and slices are renewed.
-constexpr Millis tellInterval{ 1'000 };
-/// Datagrams taken in one go, so that a flood cannot stop the ticks.
-constexpr int largestBatch = 256;
+/// Interval at which summaries and demand are announced and the slices of rate limits are updated.
+constexpr Millis announceInterval{ 1'000 };
+/// Datagrams received between two ticks, so that a flood of them cannot delay the ticks.
+constexpr int maxBatch = 256;
 
 LogEvent eventFor(const MemberView &view)
 {
@@ -33,7 +33,7 @@
     return view.suspected ? LogEvent::MemberSuspected : LogEvent::MemberJoined;
 }
 
-void logChanges(const MemberTable &before, const MemberTable &after)
+void logMemberChanges(const MemberTable &before, const MemberTable &after)
 {
     for (const MemberView &view : after.members) {
         const auto known = std::find_if(before.members.begin(), before.members.end(),
@@ -142,22 +142,22 @@
         }
         const Millis now = parts_.clock.monotonic();
         std::vector<Datagram> out;
-        GossipUpdates news;
+        GossipUpdates updates;
         {
             const std::lock_guard lock(mutex_);
-            tellPeriodically(now);
+            announcePeriodically(now);
             out = node_->tick(now);
-            news = node_->takeUpdates();
+            updates = node_->takeUpdates();
         }
         send(out);
-        publish(news, now);
+        publish(updates, now);
     }
 }
 
 void MembershipController::receiveAll()
 {
     std::array<char, maxDatagramBytes + 1> buffer{};
-    for (int count = 0; count < largestBatch; ++count) {
+    for (int count = 0; count < maxBatch; ++count) {
         sockaddr_in native{};
         socklen_t length = sizeof native;
         const ssize_t size = recvfrom(socket_, buffer.data(), buffer.size(), 0, reinterpret_cast<sockaddr *>(&native), &length);
@@ -188,19 +188,19 @@
     }
 }
 
-void MembershipController::tellPeriodically(Millis now)
+void MembershipController::announcePeriodically(Millis now)
 {
-    if (now < toldAt_ + tellInterval) {
+    if (now < announcedAt_ + announceInterval) {
         return;
     }
-    toldAt_ = now;
+    announcedAt_ = now;
     node_->announceSummaries(summarise(*parts_.board.routing.read(), now), now);
     node_->announceDemand(parts_.board.limiter.demand(now), now);
     const MemberTable table = node_->memberTable(now);
     parts_.board.limiter.update(node_->othersDemand(now), std::max(1U, table.counted), table.partitioned, now);
 }
 
-void MembershipController::takeDigests(const std::vector<UpstreamDigest> &digests)
+void MembershipController::applyDigests(const std::vector<UpstreamDigest> &digests)
 {
     if (digests.empty()) {
         return;
@@ -212,7 +212,7 @@
     }
     for (const UpstreamDigest &digest : digests) {
         const auto name = names.find(digest.key);
-        // An upstream that the settings in force here do not know yet will be told of again.
+        // Digests of upstreams that the settings here do not contain yet are dropped: later ones will follow.
         if (name != names.end()) {
             parts_.board.upstreams.takeReport(
                 UpstreamReport{ *name->second, digest.sequence, digest.observedAt,
@@ -223,7 +223,7 @@
 }
 
 std::shared_ptr<SummaryTable>
-MembershipController::namedSummaries(const std::map<std::string, DataCentreSummary> &summaries) const
+MembershipController::resolveSummaries(const std::map<std::string, DataCentreSummary> &summaries) const
 {
     const std::shared_ptr<const CompiledSettings> settings = parts_.board.settings.read();
     std::unordered_map<std::uint32_t, std::string> names;
@@ -257,30 +257,30 @@
     return table;
 }
 
-void MembershipController::publish(const GossipUpdates &news, Millis now)
+void MembershipController::publish(const GossipUpdates &updates, Millis now)
 {
-    takeDigests(news.upstreams);
-    if (news.settingsVersion > 0) {
-        parts_.onNewerSettings(news.settingsPeer, news.settingsVersion);
+    applyDigests(updates.upstreams);
+    if (updates.settingsVersion > 0) {
+        parts_.onNewerSettings(updates.settingsPeer, updates.settingsVersion);
     }
     std::shared_ptr<MemberTable> table;
     std::shared_ptr<SummaryTable> summaries;
     {
         const std::lock_guard lock(mutex_);
         table = std::make_shared<MemberTable>(node_->memberTable(now));
-        summaries = news.summariesChanged ? namedSummaries(node_->summaries()) : nullptr;
+        summaries = updates.summariesChanged ? resolveSummaries(node_->summaries()) : nullptr;
     }
     const std::shared_ptr<const MemberTable> before = parts_.board.members.read();
     const bool reachabilityChanged = table->partitioned != before->partitioned;
-    const bool membersChanged = news.membersChanged || reachabilityChanged || table->members.size() != before->members.size();
+    const bool membersChanged = updates.membersChanged || reachabilityChanged || table->members.size() != before->members.size();
     if (membersChanged) {
-        logChanges(*before, *table);
+        logMemberChanges(*before, *table);
         parts_.board.members.publish(table);
     }
     if (summaries) {
         parts_.board.summaries.publish(summaries);
     }
-    if (membersChanged || summaries || !news.upstreams.empty()) {
+    if (membersChanged || summaries || !updates.upstreams.empty()) {
         parts_.onChanged();
     }
 }
--- a/src/portpaddle/control/membership_controller.h
+++ b/src/portpaddle/control/membership_controller.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Runs the gossip protocol over a UDP socket and writes what it learns on the blackboard.
+/// Runs the gossip protocol over a UDP socket and publishes members, loads and summaries on the blackboard.
 #pragma once
 
 #include "portpaddle/base/thread.h"
@@ -16,7 +16,7 @@
 class Clock;
 class Metrics;
 
-/// What the membership controller works with; all must outlive it.
+/// The dependencies of the membership controller; the referenced objects must outlive it.
 struct MembershipParts
 {
     Blackboard &board;
@@ -25,9 +25,9 @@
     Metrics &metrics;
     std::string clusterKey;
     GossipConfig config;
-    /// A peer holds newer settings.
+    /// Called when a peer holds newer settings.
     std::function<void(const std::string &daemon, std::uint64_t version)> onNewerSettings;
-    /// Members, loads or summaries changed.
+    /// Called after members, loads or summaries changed.
     std::function<void()> onChanged;
 };
 
@@ -38,9 +38,9 @@
     explicit MembershipController(MembershipParts parts);
     ~MembershipController();
 
-    /// Binds the socket; the value is the address in use.
+    /// Binds the socket; returns the address in use.
     Result<SocketAddress> bindTo(const SocketAddress &address);
-    /// Starts the protocol as @p self, whose addresses must be known by now.
+    /// Starts the protocol as @p self, whose addresses must be set.
     void start(const MemberUpdate &self, std::vector<SocketAddress> seeds);
     void stop();
 
@@ -56,17 +56,17 @@
     void run();
     void receiveAll();
     void send(const std::vector<Datagram> &datagrams);
-    void tellPeriodically(Millis now);
-    std::shared_ptr<SummaryTable> namedSummaries(const std::map<std::string, DataCentreSummary> &summaries) const;
-    void takeDigests(const std::vector<UpstreamDigest> &digests);
-    void publish(const GossipUpdates &news, Millis now);
+    void announcePeriodically(Millis now);
+    std::shared_ptr<SummaryTable> resolveSummaries(const std::map<std::string, DataCentreSummary> &summaries) const;
+    void applyDigests(const std::vector<UpstreamDigest> &digests);
+    void publish(const GossipUpdates &updates, Millis now);
 
     MembershipParts parts_;
     int socket_ = -1;
     mutable std::mutex mutex_;
     std::unique_ptr<GossipNode> node_;
     std::uint64_t settingsVersion_ = 0;
-    Millis toldAt_{ 0 };
+    Millis announcedAt_{ 0 };
     std::atomic<bool> stopping_{ false };
     Thread thread_;
 };
--- a/src/portpaddle/control/observer_controller.cpp
+++ b/src/portpaddle/control/observer_controller.cpp
@@ -16,14 +16,14 @@
 namespace {
 
 constexpr Millis pollTimeout{ 500 };
-/// However many upstreams a daemon observes, it polls no more often than this.
-constexpr Millis paceOfPolls{ 400 };
-constexpr unsigned largestCount = 65'535;
+/// Minimum mean time between the polls of a daemon, however many upstreams it observes.
+constexpr Millis minPollSpacing{ 400 };
+constexpr unsigned maxCount = 65'535;
 
-unsigned countIn(const nlohmann::json &json, const char *name)
+unsigned readCount(const nlohmann::json &json, const char *name)
 {
     const bool present = json.contains(name) && json[name].is_number_unsigned();
-    return present ? static_cast<unsigned>(std::min<std::uint64_t>(json[name].get<std::uint64_t>(), largestCount)) : 0;
+    return present ? static_cast<unsigned>(std::min<std::uint64_t>(json[name].get<std::uint64_t>(), maxCount)) : 0;
 }
 
 } // namespace
@@ -48,12 +48,12 @@
         return report;
     }
     report.reachable = true;
-    report.load.running = countIn(json, "running");
-    report.load.queuedInteractive = countIn(json, "queued_interactive");
-    report.load.queuedDeferrable = countIn(json, "queued_deferrable");
+    report.load.running = readCount(json, "running");
+    report.load.queuedInteractive = readCount(json, "queued_interactive");
+    report.load.queuedDeferrable = readCount(json, "queued_deferrable");
     report.leaving = json.contains("leaving") && json["leaving"] == true;
-    // The engine's report lags: it tells how old its figures are.
-    report.observedAt = clock.monotonic() - Millis{ countIn(json, "age_ms") };
+    // The engine's figures lag behind; the report contains their age.
+    report.observedAt = clock.monotonic() - Millis{ readCount(json, "age_ms") };
     return report;
 }
 
@@ -84,16 +84,17 @@
 void ObserverController::run()
 {
     while (true) {
-        const std::size_t observed = observeAll();
+        const std::size_t observed = pollAll();
         std::unique_lock lock(mutex_);
-        wake_.wait_for(lock, std::max(parts_.interval, paceOfPolls * static_cast<int>(observed)), [this] { return stopping_; });
+        wake_.wait_for(lock, std::max(parts_.interval, minPollSpacing * static_cast<int>(observed)),
+                       [this] { return stopping_; });
         if (stopping_) {
             return;
         }
     }
 }
 
-std::size_t ObserverController::observeAll()
+std::size_t ObserverController::pollAll()
 {
     std::size_t observed = 0;
     const std::shared_ptr<const CompiledSettings> settings = parts_.board.settings.read();
@@ -101,12 +102,13 @@
         if (upstream.dataCentre != settings->place().dataCentre || !parts_.observes(upstream.id)) {
             continue;
         }
-        // Wall time orders the reports of successive observers; a clock that jumps back is outlived by the report's memory.
+        // Wall time orders the reports of successive observers. After a clock jumps back, the lower sequences are accepted once
+        // the last report is some seconds old.
         std::uint64_t &last = sequences_[upstream.id];
         last = std::max(last + 1, static_cast<std::uint64_t>(parts_.clock.wall().count()));
         const UpstreamReport report = fetchLoad(upstream.id, upstream.address, last, parts_.clock);
         parts_.board.upstreams.takeReport(report);
-        parts_.tell(report);
+        parts_.announce(report);
         ++observed;
     }
     parts_.onChanged();
--- a/src/portpaddle/control/observer_controller.h
+++ b/src/portpaddle/control/observer_controller.h
@@ -16,22 +16,24 @@
 
 class Clock;
 
-/// What the observer works with; all must outlive it.
+/// The dependencies of the observer; the referenced objects must outlive it.
 struct ObserverParts
 {
     Blackboard &board;
     const Clock &clock;
     /// Whether this daemon observes an upstream.
     std::function<bool(const std::string &upstream)> observes;
-    std::function<void(const UpstreamReport &)> tell;
+    /// Announces a report to the other daemons of the data centre.
+    std::function<void(const UpstreamReport &)> announce;
+    /// Called after each round of polls.
     std::function<void()> onChanged;
     Millis interval{ 500 };
 };
 
-/// Asks an upstream for its load report; a report says so when it could not be reached.
+/// Asks an upstream for its load; the report is marked as not reachable if there is no valid answer.
 UpstreamReport fetchLoad(const std::string &upstream, const std::string &address, std::uint64_t sequence, const Clock &clock);
 
-/// Owns one thread.
+/// Polls the observed upstreams in its own thread.
 class ObserverController
 {
 public:
@@ -42,7 +44,8 @@
 
 private:
     void run();
-    std::size_t observeAll();
+    /// Polls each observed upstream once; returns their number.
+    std::size_t pollAll();
 
     ObserverParts parts_;
     std::mutex mutex_;
--- a/src/portpaddle/control/order_controller.cpp
+++ b/src/portpaddle/control/order_controller.cpp
@@ -23,21 +23,22 @@
 constexpr NameTable<OrderKind, 2> orderKindNames{ { "load", "drop" } };
 constexpr Millis leaseTime{ 15'000 };
 constexpr Millis renewInterval{ 5'000 };
-/// An order must leave this long before the lease ends, or it might reach the engine after another holder's.
+/// An order must be sent this long before the lease ends, or it might reach the engine after an order of the next holder.
 constexpr Millis sendMargin{ 2'000 };
-/// Engines that do not check the fence are left alone by a new holder until the longest pause of an old one has passed.
-constexpr Millis longestPause{ 30'000 };
-/// Upstreams of a data centre that may be changing at once.
+/// A new holder sends no orders to engines without fence checks for this long: the longest expected pause of a former
+/// holder's process.
+constexpr Millis maxHolderPause{ 30'000 };
+/// Share of a data centre's upstreams that may be changing at once.
 constexpr double changingShare = 0.25;
 constexpr Millis orderTimeout{ 1'000 };
-constexpr std::size_t recordsKept = 200;
+constexpr std::size_t maxRecords = 200;
 
-std::string offeredText(const OfferedService &service)
+std::string versionedName(const OfferedService &service)
 {
     return service.version.empty() ? service.name : service.name + '@' + service.version;
 }
 
-std::string_view textOf(OrderOutcome outcome)
+std::string_view describe(OrderOutcome outcome)
 {
     switch (outcome) {
     case OrderOutcome::Accepted:
@@ -61,13 +62,13 @@
     for (const OfferedService &service : upstream.services) {
         const ServiceSettings *described = settings.service(service.name);
         if (described != nullptr && described->kind == ServiceKind::Model) {
-            wanted.push_back(offeredText(service));
+            wanted.push_back(versionedName(service));
         }
     }
     return wanted;
 }
 
-/// The first load that is missing, then the first drop that is left over.
+/// Returns the order for the first wanted model that is not loaded, else for the first loaded model that is not wanted.
 std::optional<EngineOrder> nextOrder(const UpstreamSettings &upstream, const std::vector<std::string> &wanted,
                                      const std::vector<std::string> &loaded)
 {
@@ -120,14 +121,14 @@
 void OrderLease::renew()
 {
     const std::lock_guard lock(mutex_);
-    // Counted from before the call: the platform's clock started no earlier.
+    // The lease is counted from before the call: the platform's count cannot have started earlier.
     const Millis askedAt = clock_.monotonic();
     if (fence_ != 0 && isOk(store_.keepAlive(lease_))) {
         provenUntil_ = askedAt + leaseTime;
         return;
     }
     if (fence_ != 0 && askedAt < provenUntil_) {
-        // The platform may only be slow: what was proved before still holds, and nothing more.
+        // The platform may just be slow: the lease still holds, but only until the time that was proved before.
         return;
     }
     acquire();
@@ -144,7 +145,7 @@
 {
     fence_ = 0;
     provenUntil_ = Millis{ 0 };
-    // Reading first spares the platform two writes for each look of a daemon that does not hold the lease.
+    // Reading first saves the platform two writes for each attempt of a daemon that does not hold the lease.
     const Result<std::optional<KeyValue>> holder = store_.get(key_);
     if (!isOk(holder) || valueOf(holder)) {
         return;
@@ -160,7 +161,7 @@
     if (isOk(written)) {
         fence_ = valueOf(written);
     } else if (errorOf(written).run != RunState::NotRun) {
-        // The reply was lost: the value tells whose write it was, the revision is the fence.
+        // The reply was lost: the stored value shows which daemon's write succeeded, and its revision is the fence.
         const Result<std::optional<KeyValue>> stored = store_.get(key_);
         const bool ours = isOk(stored) && valueOf(stored) && valueOf(stored)->value == value;
         fence_ = ours ? valueOf(stored)->revision : 0;
@@ -190,8 +191,8 @@
             orders.push_back(std::move(*next));
         }
     }
-    const double most = std::max(1.0, std::floor(share * static_cast<double>(upstreams)));
-    orders.resize(std::min(orders.size(), static_cast<std::size_t>(most)));
+    const double maxOrders = std::max(1.0, std::floor(share * static_cast<double>(upstreams)));
+    orders.resize(std::min(orders.size(), static_cast<std::size_t>(maxOrders)));
     return orders;
 }
 
@@ -215,14 +216,14 @@
         return;
     }
     if (*fence != holdingsFence_) {
-        // A new holder knows nothing of what engines hold: loading what is loaded already costs an engine nothing.
+        // A new holder does not know what engines have loaded. Repeating a load costs an engine nothing.
         holdings_.clear();
         holdingsFence_ = *fence;
         heldSince_ = now;
     }
     for (EngineOrder &order : planOrders(parts_.board, holdings_, changingShare)) {
         order.fence = *fence;
-        give(std::move(order));
+        sendOrder(std::move(order));
     }
 }
 
@@ -237,14 +238,14 @@
     return lease_.provenFence(Millis{ 0 }).has_value();
 }
 
-void OrderController::give(EngineOrder order)
+void OrderController::sendOrder(EngineOrder order)
 {
     if (!mayStillSend(order)) {
         return;
     }
     const OrderOutcome outcome = parts_.sender.send(order);
     logEvent(LogEvent::OrderSent,
-             { { "upstream", order.upstream }, { "subject", order.subject }, { "outcome", std::string(textOf(outcome)) } });
+             { { "upstream", order.upstream }, { "subject", order.subject }, { "outcome", std::string(describe(outcome)) } });
     if (outcome == OrderOutcome::Accepted) {
         std::vector<std::string> &loaded = holdings_[order.upstream].loaded;
         if (order.kind == OrderKind::Load) {
@@ -254,13 +255,13 @@
         }
     }
     const std::lock_guard lock(mutex_);
-    recent_.push_back(OrderRecord{ parts_.clock.wall().count(), std::move(order), std::string(textOf(outcome)) });
-    if (recent_.size() > recordsKept) {
+    recent_.push_back(OrderRecord{ parts_.clock.wall().count(), std::move(order), std::string(describe(outcome)) });
+    if (recent_.size() > maxRecords) {
         recent_.pop_front();
     }
 }
 
-/// Looked at right before each order: the process may have been paused since the plan was made.
+/// Checked right before each order is sent: the process may have been paused since the order was planned.
 bool OrderController::mayStillSend(const EngineOrder &order)
 {
     const std::optional<std::uint64_t> fence = lease_.provenFence(sendMargin);
@@ -272,7 +273,7 @@
     const auto view = std::find_if(snapshot->upstreams.begin(), snapshot->upstreams.end(),
                                    [&](const UpstreamView &candidate) { return candidate.id == order.upstream; });
     const bool checksFence = view != snapshot->upstreams.end() && view->checksFence;
-    return checksFence || parts_.clock.monotonic() >= heldSince_ + longestPause;
+    return checksFence || parts_.clock.monotonic() >= heldSince_ + maxHolderPause;
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/control/order_controller.h
+++ b/src/portpaddle/control/order_controller.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Orders to engines: one holder per data centre by a lease of the platform, every order fenced by the lease's revision.
+/// Orders to engines. A platform lease allows one sender per data centre; its revision is the fencing token of each order.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -23,26 +23,26 @@
 class Clock;
 class KeyValueStore;
 
-/// What an engine may be ordered to do.
+/// The actions that an engine can be ordered to take.
 enum class OrderKind { Load, Drop };
 std::string_view nameOf(OrderKind kind);
 
-/// One order as it goes to an engine.
+/// One order to an engine.
 struct EngineOrder
 {
     std::string upstream;
     std::string address;
     OrderKind kind = OrderKind::Load;
-    /// What to load or drop.
+    /// The model to load or drop, as "name" or "name@version".
     std::string subject;
-    /// The revision of the lease's key; engines refuse lower ones.
+    /// The fencing token: the revision of the lease's key. Engines refuse lower ones.
     std::uint64_t fence = 0;
 };
 
-/// How an order ended.
+/// The outcome of an order.
 enum class OrderOutcome { Accepted, RefusedByFence, Unknown };
 
-/// Hands an order to an engine.
+/// Interface for sending an order to an engine.
 class OrderSender
 {
 public:
@@ -57,15 +57,15 @@
     OrderOutcome send(const EngineOrder &order) override;
 };
 
-/// The right to give orders in one data centre.
+/// The lease that permits one daemon of a data centre to send orders.
 class OrderLease
 {
 public:
     OrderLease(KeyValueStore &store, const Clock &clock, std::string dataCentre, std::string daemon);
 
-    /// Acquires or keeps the lease; called every few seconds.
+    /// Acquires or extends the lease; to be called every few seconds.
     void renew();
-    /// The fence, if the lease is proved to hold for at least @p margin more by this daemon's own clock.
+    /// Returns the fencing token if by this daemon's clock the lease is certain to hold for at least @p margin.
     std::optional<std::uint64_t> provenFence(Millis margin) const;
 
 private:
@@ -81,17 +81,17 @@
     Millis provenUntil_{ 0 };
 };
 
-/// What an engine has acknowledged so far.
+/// The models that an engine has acknowledged as loaded.
 struct EngineHoldings
 {
     std::vector<std::string> loaded;
 };
 
-/// Decides the next orders: loads before drops, at most @p changingShare of the upstreams at once. Pure.
+/// Returns the next orders: loads before drops, and for at most @p changingShare of the upstreams at once. Pure.
 std::vector<EngineOrder> planOrders(const Blackboard &board, const std::map<std::string, EngineHoldings> &holdings,
                                     double changingShare);
 
-/// What the order controller works with; all must outlive it.
+/// The dependencies of the order controller; the referenced objects must outlive it.
 struct OrderParts
 {
     Blackboard &board;
@@ -100,11 +100,11 @@
     OrderSender &sender;
     std::string dataCentre;
     std::string daemon;
-    /// Whether this daemon should try to hold the lease: only a few per data centre do, to spare the platform.
+    /// Whether this daemon should compete for the lease: only a few per data centre do, to limit the load on the platform.
     std::function<bool()> isCandidate;
 };
 
-/// One order that was given, for operators.
+/// A sent order and its outcome, for operators.
 struct OrderRecord
 {
     std::int64_t wallMs = 0;
@@ -112,24 +112,24 @@
     std::string outcome;
 };
 
-/// Owns no thread: step() is called by the daemon's housekeeping.
+/// Sends due orders while this daemon holds the lease. Owns no thread: the daemon's housekeeping calls step().
 class OrderController
 {
 public:
     explicit OrderController(OrderParts parts);
 
     void step();
-    /// Orders given lately, newest first.
+    /// Returns the recently sent orders, newest first.
     std::vector<OrderRecord> recent() const;
     bool holdsLease() const;
 
 private:
-    void give(EngineOrder order);
+    void sendOrder(EngineOrder order);
     bool mayStillSend(const EngineOrder &order);
 
     OrderParts parts_;
     OrderLease lease_;
-    /// Touched by step() alone.
+    /// Accessed by step() only.
     std::map<std::string, EngineHoldings> holdings_;
     mutable std::mutex mutex_;
     std::deque<OrderRecord> recent_;
--- a/src/portpaddle/control/settings_controller.cpp
+++ b/src/portpaddle/control/settings_controller.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr Millis restAfterFailure{ 1'000 };
-constexpr Millis restBetweenLooks{ 1'000 };
-/// Changes kept for peers that are a little behind; those further behind get a snapshot.
-constexpr std::size_t recentChanges = 256;
+constexpr Millis failureDelay{ 1'000 };
+constexpr Millis idleDelay{ 1'000 };
+/// Number of changes kept for peers that are slightly behind; peers further behind get a snapshot.
+constexpr std::size_t maxRecentChanges = 256;
 
 } // namespace
 
@@ -72,7 +72,7 @@
     return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-bool SettingsController::takeFromPeer(const std::string &text)
+bool SettingsController::applyPeerReply(const std::string &text)
 {
     const nlohmann::json json = nlohmann::json::parse(text, nullptr, false);
     if (!json.is_object()) {
@@ -80,13 +80,14 @@
     }
     if (json.contains("snapshot") && json["snapshot"].is_string()) {
         const Result<SettingsTree> tree = SettingsTree::fromSnapshot(json["snapshot"].get<std::string>());
-        return isOk(tree) && takeTree(valueOf(tree));
+        return isOk(tree) && applyTree(valueOf(tree));
     }
     std::vector<SettingsChange> changes;
     for (const nlohmann::json &item : json.value("changes", nlohmann::json::array())) {
         const Result<SettingsChange> change = item.is_string()
             ? changeFromText(item.get<std::string>())
-            : Result<SettingsChange>(Error{ ErrorCode::SettingsInvalid, "not a change", RunState::NotRun, std::nullopt });
+            : Result<SettingsChange>(Error{ ErrorCode::SettingsInvalid, "an item of the reply is not a settings change",
+                                            RunState::NotRun, std::nullopt });
         if (!isOk(change)) {
             return false;
         }
@@ -101,7 +102,7 @@
     {
         const std::lock_guard lock(mutex_);
         for (const SettingsChange &change : changes) {
-            // Only the next version is taken: nothing is skipped, nothing goes back.
+            // Only the next version is applied, so that no change is skipped and no version is undone.
             if (change.version != tree_.version() + 1) {
                 continue;
             }
@@ -109,7 +110,7 @@
             recent_.push_back(change);
             applied = true;
         }
-        while (recent_.size() > recentChanges) {
+        while (recent_.size() > maxRecentChanges) {
             recent_.pop_front();
         }
     }
@@ -144,7 +145,7 @@
         if (parts_.isReader()) {
             readPlatform();
         } else {
-            rest(restBetweenLooks);
+            waitFor(idleDelay);
         }
     }
 }
@@ -154,18 +155,18 @@
     const SettingsTree known = tree();
     if (known.version() == 0) {
         const Result<SettingsTree> newest = log_.catchUp(known);
-        notePlatform(isOk(newest));
+        publishPlatformState(isOk(newest));
         if (!isOk(newest)) {
-            return rest(restAfterFailure);
+            return waitFor(failureDelay);
         }
-        if (takeTree(valueOf(newest))) {
+        if (applyTree(valueOf(newest))) {
             return;
         }
     }
     const Result<std::vector<SettingsChange>> changes = log_.watch(version(), parts_.watchTime);
-    notePlatform(isOk(changes));
+    publishPlatformState(isOk(changes));
     if (!isOk(changes)) {
-        return rest(restAfterFailure);
+        return waitFor(failureDelay);
     }
     takeChanges(valueOf(changes));
 }
@@ -185,11 +186,11 @@
     }
     const std::optional<std::string> reply = parts_.askPeer(daemon, known);
     if (reply) {
-        takeFromPeer(*reply);
+        applyPeerReply(*reply);
     }
 }
 
-bool SettingsController::takeTree(const SettingsTree &tree)
+bool SettingsController::applyTree(const SettingsTree &tree)
 {
     {
         const std::lock_guard lock(mutex_);
@@ -203,10 +204,10 @@
     return true;
 }
 
-// An operator's call and the thread that reads the platform both publish: one that read an older tree must not come last.
+// Both the settings thread and a call of an operator publish; an older tree must not be published after a newer one.
 void SettingsController::publish()
 {
-    const std::lock_guard lock(publishing_);
+    const std::lock_guard lock(publishMutex_);
     const std::shared_ptr<const CompiledSettings> compiled = CompiledSettings::compile(tree(), parts_.place);
     parts_.board.settings.publish(compiled);
     if (compiled->version() == 0) {
@@ -218,7 +219,7 @@
     }
 }
 
-void SettingsController::notePlatform(bool reachable)
+void SettingsController::publishPlatformState(bool reachable)
 {
     const std::shared_ptr<const PlatformView> before = parts_.board.platform.read();
     if (before->reachable == reachable && before->since != Millis{ 0 }) {
@@ -228,7 +229,7 @@
     logEvent(reachable ? LogEvent::PlatformReachable : LogEvent::PlatformUnreachable);
 }
 
-void SettingsController::rest(Millis time)
+void SettingsController::waitFor(Millis time)
 {
     std::unique_lock lock(mutex_);
     wake_.wait_for(lock, time, [this] { return stopping_ || hintedVersion_ > tree_.version(); });
--- a/src/portpaddle/control/settings_controller.h
+++ b/src/portpaddle/control/settings_controller.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Keeps the daemon on the newest settings: from the platform where it reads for its data centre, from peers otherwise.
+/// Keeps the daemon's settings up to date: from the platform if it reads for its data centre, from peers otherwise.
 #pragma once
 
 #include "portpaddle/base/thread.h"
@@ -20,7 +20,7 @@
 class Clock;
 class Platform;
 
-/// What the settings controller works with; all must outlive it.
+/// The dependencies of the settings controller; the referenced objects must outlive it.
 struct SettingsControllerParts
 {
     Blackboard &board;
@@ -29,15 +29,15 @@
     Place place;
     /// Whether this daemon reads the platform on behalf of its data centre.
     std::function<bool()> isReader;
-    /// Asks a peer for the changes after a version; none when it cannot be asked.
+    /// Asks a peer for the changes after a version; returns no value if the peer cannot be asked.
     std::function<std::optional<std::string>(const std::string &daemon, std::uint64_t after)> askPeer;
-    /// A newer version came into force.
+    /// Called after a newer version came into force.
     std::function<void(std::uint64_t version)> onApplied;
-    /// How long one watch waits; a planned stop waits for it.
+    /// How long one watch of the platform waits; stop() may wait as long.
     Millis watchTime;
 };
 
-/// Owns one thread; the version in force never goes down.
+/// Owns one thread. The version in force never decreases.
 class SettingsController
 {
 public:
@@ -46,13 +46,13 @@
 
     void start();
     void stop();
-    /// A peer is known to hold @p version.
+    /// Notes that a peer holds @p version; a newer version than the own one is requested from it.
     void hint(const std::string &daemon, std::uint64_t version);
-    /// What a peer gets that holds @p after: changes, or a snapshot when those are no longer kept.
+    /// Returns the reply for a peer that holds version @p after: changes, or a snapshot if those are no longer kept.
     std::string changesAfter(std::uint64_t after) const;
-    /// Takes a reply of changesAfter(); false when it brought nothing newer.
-    bool takeFromPeer(const std::string &text);
-    /// Takes changes that follow the present version; others are ignored.
+    /// Applies a reply of changesAfter(); returns false if it holds nothing newer.
+    bool applyPeerReply(const std::string &text);
+    /// Applies the changes that directly follow the current version and ignores others; returns whether any was applied.
     bool takeChanges(const std::vector<SettingsChange> &changes);
     std::uint64_t version() const;
     SettingsTree tree() const;
@@ -61,15 +61,16 @@
     void run();
     void readPlatform();
     void readPeer();
-    bool takeTree(const SettingsTree &tree);
+    bool applyTree(const SettingsTree &tree);
     void publish();
-    void notePlatform(bool reachable);
-    void rest(Millis time);
+    void publishPlatformState(bool reachable);
+    /// Waits for @p time, or less if a newer version is announced or the controller stops.
+    void waitFor(Millis time);
 
     SettingsControllerParts parts_;
     SettingsLog log_;
-    /// Held from reading the tree to putting it in force.
-    std::mutex publishing_;
+    /// Held from reading the tree until it is in force.
+    std::mutex publishMutex_;
     mutable std::mutex mutex_;
     std::condition_variable wake_;
     SettingsTree tree_;
