--- a/src/portpaddle/entry/authenticator.cpp
+++ b/src/portpaddle/entry/authenticator.cpp
@@ -17,19 +17,19 @@
 using namespace std::chrono_literals;
 
 constexpr std::string_view bearer = "Bearer ";
-constexpr std::size_t longestKey = 512;
-/// A key that the directory no longer knows dies within this time while the directory answers.
+constexpr std::size_t maxKeyLength = 512;
+/// A known key is looked up again after this time, so that a revoked key stops working while the directory answers.
 constexpr Millis recheckAfter = 5min;
-/// While the directory does not answer, it is asked again this often for a known key.
+/// Interval at which the lookup of a known key is retried while the directory does not answer.
 constexpr Millis retryAfterFailure = 5s;
-/// Without any answer of the directory a known key is honoured this long.
-constexpr Millis longestTrust = 12h;
-constexpr Millis unknownKeyMemory = 10s;
-/// Unknown keys may cause this many lookups a second, so that guessing keys does not reach the platform.
+/// A known key is accepted for this long while the directory does not answer.
+constexpr Millis maxOfflineTrust = 12h;
+constexpr Millis unknownKeyCacheTime = 10s;
+/// Maximum lookups of unknown keys per second; limits the load that guessed keys cause on the platform.
 constexpr double lookupsPerSecond = 20;
-constexpr std::size_t largestCache = 20'000;
+constexpr std::size_t maxCachedKeys = 20'000;
 
-Error refused(const char *message)
+Error unauthenticated(const char *message)
 {
     return Error{ ErrorCode::Unauthenticated, message, RunState::NotRun, std::nullopt };
 }
@@ -43,9 +43,9 @@
 Result<std::string> Authenticator::organisationOf(const std::string &authorization)
 {
     const bool wellFormed = authorization.compare(0, bearer.size(), bearer) == 0 && authorization.size() > bearer.size()
-        && authorization.size() <= bearer.size() + longestKey;
+        && authorization.size() <= bearer.size() + maxKeyLength;
     if (!wellFormed) {
-        return refused("an Authorization header with a bearer key is needed");
+        return unauthenticated("an Authorization header with a bearer key is required");
     }
     const std::string digest = sha256Hex(std::string_view(authorization).substr(bearer.size()));
     const Millis now = clock_.monotonic();
@@ -56,28 +56,28 @@
         const auto found = entries_.find(digest);
         isKnown = found != entries_.end();
         known = isKnown ? found->second : Entry{};
-        const Millis fresh = known.organisation.empty() ? unknownKeyMemory : recheckAfter;
-        const bool justTried = isKnown && now < known.triedAt + retryAfterFailure;
+        const Millis fresh = known.organisation.empty() ? unknownKeyCacheTime : recheckAfter;
+        const bool justAttempted = isKnown && now < known.attemptedAt + retryAfterFailure;
         const bool isFresh = isKnown && now < known.checkedAt + fresh;
-        if (isFresh || (justTried && !known.organisation.empty())) {
-            return known.organisation.empty() ? Result<std::string>(refused("the key is not known")) : known.organisation;
+        if (isFresh || (justAttempted && !known.organisation.empty())) {
+            return known.organisation.empty() ? Result<std::string>(unauthenticated("the key is unknown")) : known.organisation;
         }
-        if (known.organisation.empty() && !mayAsk(now)) {
-            return Error{ ErrorCode::Overloaded, "too many unknown keys", RunState::NotRun, Millis{ 1000 } };
+        if (known.organisation.empty() && !takeLookup(now)) {
+            return Error{ ErrorCode::Overloaded, "too many requests with unknown keys", RunState::NotRun, Millis{ 1000 } };
         }
         if (isKnown) {
-            found->second.triedAt = now;
+            found->second.attemptedAt = now;
         }
     }
-    Result<std::string> asked = ask(digest, now);
-    const bool directoryAway = !isOk(asked) && errorOf(asked).code == ErrorCode::PlatformUnavailable;
-    if (directoryAway && !known.organisation.empty() && now < known.checkedAt + longestTrust) {
+    Result<std::string> result = lookUp(digest, now);
+    const bool directoryUnavailable = !isOk(result) && errorOf(result).code == ErrorCode::PlatformUnavailable;
+    if (directoryUnavailable && !known.organisation.empty() && now < known.checkedAt + maxOfflineTrust) {
         return known.organisation;
     }
-    return asked;
+    return result;
 }
 
-bool Authenticator::mayAsk(Millis now)
+bool Authenticator::takeLookup(Millis now)
 {
     const double seconds = static_cast<double>((now - allowanceAt_).count()) / 1000;
     lookupAllowance_ = std::min(lookupsPerSecond, lookupAllowance_ + seconds * lookupsPerSecond);
@@ -89,25 +89,24 @@
     return true;
 }
 
-Result<std::string> Authenticator::ask(const std::string &digest, Millis now)
+Result<std::string> Authenticator::lookUp(const std::string &digest, Millis now)
 {
     const Result<std::optional<ClientRecord>> found = directory_.find(digest);
     if (!isOk(found)) {
-        return Error{ ErrorCode::PlatformUnavailable, "the directory of clients does not answer", RunState::NotRun,
-                      Millis{ 2000 } };
+        return Error{ ErrorCode::PlatformUnavailable, "the client directory does not answer", RunState::NotRun, Millis{ 2000 } };
     }
     const std::string organisation = valueOf(found) ? valueOf(found)->organisation : std::string{};
-    remember(digest, organisation, now);
+    store(digest, organisation, now);
     if (organisation.empty()) {
-        return refused("the key is not known");
+        return unauthenticated("the key is unknown");
     }
     return organisation;
 }
 
-void Authenticator::remember(const std::string &digest, const std::string &organisation, Millis now)
+void Authenticator::store(const std::string &digest, const std::string &organisation, Millis now)
 {
     const std::lock_guard lock(mutex_);
-    if (entries_.size() >= largestCache) {
+    if (entries_.size() >= maxCachedKeys) {
         std::erase_if(entries_, [&](const auto &entry) { return entry.second.organisation.empty(); });
     }
     entries_[digest] = Entry{ organisation, now, now };
--- a/src/portpaddle/entry/authenticator.h
+++ b/src/portpaddle/entry/authenticator.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Finds the organisation behind a bearer key, also while the directory is away.
+/// Maps bearer keys to organisations, for known keys also while the client directory is unavailable.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -21,7 +21,7 @@
 public:
     Authenticator(ClientDirectory &directory, const Clock &clock);
 
-    /// The organisation that the Authorization header proves, or Unauthenticated.
+    /// Returns the organisation that the Authorization header identifies, or an error if there is none or it cannot be looked up.
     Result<std::string> organisationOf(const std::string &authorization);
 
 private:
@@ -29,12 +29,13 @@
     {
         std::string organisation;
         Millis checkedAt{ 0 };
-        Millis triedAt{ 0 };
+        Millis attemptedAt{ 0 };
     };
 
-    bool mayAsk(Millis now);
-    Result<std::string> ask(const std::string &digest, Millis now);
-    void remember(const std::string &digest, const std::string &organisation, Millis now);
+    /// Consumes one lookup of the rate limit for unknown keys; returns false if none is left.
+    bool takeLookup(Millis now);
+    Result<std::string> lookUp(const std::string &digest, Millis now);
+    void store(const std::string &digest, const std::string &organisation, Millis now);
 
     ClientDirectory &directory_;
     const Clock &clock_;
--- a/src/portpaddle/entry/caller_answers.cpp
+++ b/src/portpaddle/entry/caller_answers.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::size_t largestAnswer = 16 * 1024 * 1024;
-constexpr const char *usualType = "application/octet-stream";
+constexpr std::size_t maxAnswerBytes = 16 * 1024 * 1024;
+constexpr const char *defaultContentType = "application/octet-stream";
 
 } // namespace
 
@@ -26,7 +26,7 @@
 
 bool BufferedAnswer::data(std::string_view bytes)
 {
-    tooLarge_ = body_.size() + bytes.size() > largestAnswer;
+    tooLarge_ = body_.size() + bytes.size() > maxAnswerBytes;
     if (!tooLarge_) {
         body_.append(bytes);
     }
@@ -40,7 +40,7 @@
 
 void BufferedAnswer::onReceiverGone(std::function<void()>)
 {
-    // Nobody takes this receiver away: it lives as long as the request.
+    // This receiver exists as long as the request, so the hook is never needed.
 }
 
 bool BufferedAnswer::tooLarge() const
@@ -57,7 +57,7 @@
 
 std::string writeHeaders(const AnswerHead &head, httplib::Response &response)
 {
-    std::string type = usualType;
+    std::string type = defaultContentType;
     for (const HeaderField &field : head.headers) {
         if (lowerCase(field.name) == "content-type") {
             type = field.value;
--- a/src/portpaddle/entry/caller_answers.h
+++ b/src/portpaddle/entry/caller_answers.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Writes answers and errors the way callers expect them.
+/// Conversion of answers and errors to HTTP responses for callers.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -15,7 +15,7 @@
 
 namespace Portpaddle {
 
-/// Collects a whole answer, up to a bound, before any of it goes out.
+/// Buffers a complete answer, up to a size limit, before any of it is sent.
 class BufferedAnswer : public AnswerSink
 {
 public:
@@ -24,8 +24,9 @@
     bool receiverGone() const override;
     void onReceiverGone(std::function<void()> hook) override;
 
-    /// Whether the answer exceeded the bound and was cut.
+    /// Whether the answer exceeded the size limit and was truncated.
     bool tooLarge() const;
+    /// Copies the buffered answer to @p response.
     void writeTo(httplib::Response &response) const;
 
 private:
@@ -34,9 +35,9 @@
     bool tooLarge_ = false;
 };
 
-/// Adds the headers of @p head but for the content type, which is returned.
+/// Adds the headers of @p head to @p response, except the request id and the content type; returns the latter.
 std::string writeHeaders(const AnswerHead &head, httplib::Response &response);
-/// Answers with the error as JSON: code, message, request id, run state and, where waiting helps, Retry-After.
+/// Writes the error as JSON with code, message, request id and run state, and Retry-After if a later retry may succeed.
 void writeError(const Error &error, const std::string &requestId, httplib::Response &response);
 
 } // namespace Portpaddle
--- a/src/portpaddle/entry/chat_request.cpp
+++ b/src/portpaddle/entry/chat_request.cpp
@@ -14,19 +14,19 @@
 
 namespace {
 
-/// The usual length of a token in Latin script, in bytes.
+/// Typical length of a token in Latin script, in bytes.
 constexpr std::size_t bytesPerToken = 4;
-/// Requests that agree in this much of their prompt are taken to share it.
+/// Requests whose prompts agree in this many bytes are treated as sharing a prefix.
 constexpr std::size_t prefixBytes = 2048;
-constexpr unsigned usualAnswerTokens = 256;
-constexpr unsigned longestAnswerTokens = 100'000;
+constexpr unsigned defaultAnswerTokens = 256;
+constexpr unsigned maxAnswerTokens = 100'000;
 
-Error bad(std::string message)
+Error badRequest(std::string message)
 {
     return Error{ ErrorCode::BadRequest, std::move(message), RunState::NotRun, std::nullopt };
 }
 
-/// Appends the text of a message's content: a string, or a list of parts with text.
+/// Appends the text of a message's content, which is a string or a list of parts; returns false if it is neither.
 bool appendContent(const nlohmann::json &content, std::string &prompt)
 {
     if (content.is_string()) {
@@ -56,10 +56,10 @@
     for (std::size_t index = 0; index < messages.size(); ++index) {
         const nlohmann::json &message = messages[index];
         if (!message.is_object() || !message.contains("role") || !message["role"].is_string()) {
-            return bad(fmt::format("messages[{}] must be an object with a role", index));
+            return badRequest(fmt::format("messages[{}] must be an object with a role", index));
         }
         if (message.contains("content") && !appendContent(message["content"], prompt)) {
-            return bad(fmt::format("messages[{}].content must be a string or a list of parts", index));
+            return badRequest(fmt::format("messages[{}].content must be a string or a list of parts", index));
         }
         prompt += '\n';
     }
@@ -73,13 +73,13 @@
             continue;
         }
         const bool valid = json[name].is_number_integer() && json[name].get<std::int64_t>() >= 1
-            && json[name].get<std::int64_t>() <= longestAnswerTokens;
+            && json[name].get<std::int64_t>() <= maxAnswerTokens;
         if (!valid) {
-            return bad(fmt::format("{} must be an integer from 1 to {}", name, longestAnswerTokens));
+            return badRequest(fmt::format("{} must be an integer from 1 to {}", name, maxAnswerTokens));
         }
         return json[name].get<unsigned>();
     }
-    return usualAnswerTokens;
+    return defaultAnswerTokens;
 }
 
 } // namespace
@@ -88,19 +88,19 @@
 {
     const nlohmann::json json = nlohmann::json::parse(body, nullptr, false);
     if (json.is_discarded()) {
-        return bad("the body is not valid JSON in UTF-8");
+        return badRequest("the body is not valid JSON in UTF-8");
     }
     if (!json.is_object()) {
-        return bad("the body must be an object");
+        return badRequest("the body must be an object");
     }
     if (!json.contains("model") || !json["model"].is_string()) {
-        return bad("model must be a string");
+        return badRequest("model must be a string");
     }
     if (!json.contains("messages") || !json["messages"].is_array() || json["messages"].empty()) {
-        return bad("messages must be a list that is not empty");
+        return badRequest("messages must be a non-empty list");
     }
     if (json.contains("stream") && !json["stream"].is_boolean() && !json["stream"].is_null()) {
-        return bad("stream must be true or false");
+        return badRequest("stream must be true or false");
     }
     const Result<std::string> prompt = promptOf(json["messages"]);
     if (!isOk(prompt)) {
--- a/src/portpaddle/entry/chat_request.h
+++ b/src/portpaddle/entry/chat_request.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Reads what the router needs from the body of a chat completion request.
+/// Extracts the routing data from the body of a chat completion request.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -11,7 +11,7 @@
 
 namespace Portpaddle {
 
-/// What routing needs to know of a chat completion request.
+/// The data of a chat completion request that routing depends on.
 struct ChatRequest
 {
     std::string model;
@@ -21,7 +21,7 @@
     std::uint64_t prefixHash = 0;
 };
 
-/// BadRequest with the member at fault when @p body is not a chat completion request.
+/// Parses @p body; returns BadRequest with the name of the invalid member if it is not a chat completion request.
 Result<ChatRequest> parseChatRequest(const std::string &body);
 
 } // namespace Portpaddle
--- a/src/portpaddle/entry/entry_list.cpp
+++ b/src/portpaddle/entry/entry_list.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-/// Callers ask again after this time; a VM that leaves is gone from their lists by then.
+/// Time after which callers fetch the list again; bounds how long they keep using a VM that leaves.
 constexpr int timeToLiveSeconds = 10;
-constexpr int nearWeight = 100;
-constexpr int farWeight = 10;
+constexpr int localWeight = 100;
+constexpr int remoteWeight = 10;
 
 bool isAllowed(const CompiledSettings &settings, const std::string &organisation, const std::string &service,
                const std::string &region)
@@ -24,13 +24,13 @@
     if (!service.empty()) {
         return settings.policy(organisation, service).allowsRegion(region);
     }
-    // Without a service named, a VM is only offered if every service may be asked for there.
+    // If no service is named, a VM is only listed if all services are allowed in its region.
     return std::all_of(settings.services().begin(), settings.services().end(), [&](const ServiceSettings &known) {
         return settings.policy(organisation, known.name).allowsRegion(region);
     });
 }
 
-/// Own data centre, own region, then the nearest regions.
+/// Returns the sort key of a member: own data centre first, then own region, then the nearest regions.
 double distance(const CompiledSettings &settings, const MemberView &member)
 {
     if (member.dataCentre == settings.place().dataCentre) {
@@ -47,8 +47,8 @@
     const std::shared_ptr<const MemberTable> table = board.members.read();
     std::vector<MemberView> usable;
     for (const MemberView &member : table->members) {
-        const bool takesWork = member.alive && !member.suspected && !member.leaving;
-        if (takesWork && isAllowed(*settings, organisation, service, member.region)) {
+        const bool isUsable = member.alive && !member.suspected && !member.leaving;
+        if (isUsable && isAllowed(*settings, organisation, service, member.region)) {
             usable.push_back(member);
         }
     }
@@ -57,12 +57,12 @@
     });
     nlohmann::json entries = nlohmann::json::array();
     for (const MemberView &member : usable) {
-        const bool near = member.dataCentre == settings->place().dataCentre;
+        const bool isLocal = member.dataCentre == settings->place().dataCentre;
         entries.push_back({ { "id", member.id },
                             { "address", member.entryAddress },
                             { "region", member.region },
                             { "data_centre", member.dataCentre },
-                            { "weight", near ? nearWeight : farWeight } });
+                            { "weight", isLocal ? localWeight : remoteWeight } });
     }
     return { { "entries", entries }, { "ttl_s", timeToLiveSeconds }, { "settings_version", settings->version() } };
 }
--- a/src/portpaddle/entry/entry_list.h
+++ b/src/portpaddle/entry/entry_list.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Which entry VMs a caller should use.
+/// The list of entry VMs for callers.
 #pragma once
 
 #include <string>
@@ -12,7 +12,8 @@
 
 class Blackboard;
 
-/// Usable entry VMs, the own data centre first, without those that the residency of the organisation's request forbids.
+/// Returns the usable entry VMs, nearest first, except those where the residency rules of @p organisation forbid @p service or,
+/// if that is empty, any service.
 nlohmann::json listEntries(const Blackboard &board, const std::string &organisation, const std::string &service);
 
 } // namespace Portpaddle
--- a/src/portpaddle/entry/entry_server.cpp
+++ b/src/portpaddle/entry/entry_server.cpp
@@ -26,36 +26,37 @@
 
 namespace {
 
-constexpr std::size_t largestBody = 8 * 1024 * 1024;
-constexpr Millis longestBodyTime{ 30'000 };
-/// How often a silent stream is checked for a caller that went away.
+constexpr std::size_t maxBodyBytes = 8 * 1024 * 1024;
+constexpr Millis maxBodyTime{ 30'000 };
+/// Interval at which a silent stream is checked for a disconnected caller.
 constexpr Millis callerCheckInterval{ 100 };
 constexpr std::string_view chatPath = "/v1/chat/completions";
-/// Names the model outside the body, for callers whose residency must be known before the body is read.
+/// Names the model outside the body, so that residency can be checked before the body is read.
 constexpr const char *serviceHeader = "X-Service";
 
-bool isForUpstream(const std::string &name)
+bool isForwardedHeader(const std::string &name)
 {
-    static constexpr std::array<std::string_view, 9> withheld{ "authorization",  "x-request-id", "x-resume-from-token",
-                                                               "x-organisation", "x-priority",   "idempotency-key",
-                                                               "remote_addr",    "remote_port",  "expect" };
+    static constexpr std::array<std::string_view, 9> dropped{ "authorization",  "x-request-id", "x-resume-from-token",
+                                                              "x-organisation", "x-priority",   "idempotency-key",
+                                                              "remote_addr",    "remote_port",  "expect" };
     const std::string lower = lowerCase(name);
     const bool local = lower == "local_addr" || lower == "local_port" || lower == "x-service";
-    return !local && !isHopByHopHeader(lower) && std::find(withheld.begin(), withheld.end(), lower) == withheld.end();
+    return !local && !isHopByHopHeader(lower) && std::find(dropped.begin(), dropped.end(), lower) == dropped.end();
 }
 
-Error refusal(ErrorCode code, std::string message)
+Error notRun(ErrorCode code, std::string message)
 {
     return Error{ code, std::move(message), RunState::NotRun, std::nullopt };
 }
 
-/// The organisation's limit may stand at the organisation or at one of its services; each has its own counts.
+/// Returns the scope of the limits that apply. They are set for the organisation or for one of its services; each scope has its
+/// own counters.
 std::string limitScope(const RequestPolicy &policy, const std::string &organisation, const std::string &service)
 {
-    const std::string own = "/organisations/" + organisation + "/services/" + service;
+    const std::string servicePath = "/organisations/" + organisation + "/services/" + service;
     for (const char *key : { "max_requests_per_second", "max_tokens_per_second", "max_concurrent" }) {
         const SettingOrigin *origin = policy.originOf(key);
-        if (origin != nullptr && origin->path == own) {
+        if (origin != nullptr && origin->path == servicePath) {
             return organisation + '/' + service;
         }
     }
@@ -93,10 +94,10 @@
         const ChatRequest &chat = valueOf(parsed);
         const ServiceSettings *service = settings_->service(chat.model);
         if (service == nullptr || service->kind != ServiceKind::Model) {
-            return fail(refusal(ErrorCode::UnknownService, fmt::format("there is no model '{}'", chat.model.substr(0, 64))));
+            return fail(notRun(ErrorCode::UnknownService, fmt::format("model '{}' does not exist", chat.model.substr(0, 64))));
         }
         if (request_.has_header(serviceHeader) && request_.get_header_value(serviceHeader) != chat.model) {
-            return fail(refusal(ErrorCode::BadRequest, "the X-Service header and the model differ"));
+            return fail(notRun(ErrorCode::BadRequest, "the X-Service header and the model differ"));
         }
         Call call = newCall(service->name);
         call.path = std::string(chatPath);
@@ -115,11 +116,11 @@
         }
         const ServiceSettings *service = settings_->serviceForPath(request_.path);
         if (service == nullptr) {
-            return fail(refusal(ErrorCode::UnknownPath, "no service has this path"));
+            return fail(notRun(ErrorCode::UnknownPath, "no service is configured for this path"));
         }
         if (!policyFor(service->name).allowsRegion(settings_->place().region)) {
             return fail(
-                refusal(ErrorCode::ResidencyForbids, "this request must not be served from this region; ask for entry VMs"));
+                notRun(ErrorCode::ResidencyForbids, "this request must not be served from this region; ask for entry VMs"));
         }
         if (!readBody(reader)) {
             return;
@@ -129,10 +130,10 @@
         call.retryable = service->isRetryable(request_.method);
         call.atMostOnce = service->isAtMostOnce(request_.method, request_.path);
         call.idempotencyKey = request_.get_header_value("Idempotency-Key");
-        // An upstream that refuses repeats itself needs no claim: the key is passed on to it.
+        // An upstream that rejects duplicates by the idempotency key itself needs no claim: the key is forwarded to it.
         call.claimed = service->checksIdempotencyKey;
-        if (call.idempotencyKey.size() > longestIdempotencyKey) {
-            return fail(refusal(ErrorCode::BadRequest, "the Idempotency-Key is too long"));
+        if (call.idempotencyKey.size() > maxIdempotencyKeyLength) {
+            return fail(notRun(ErrorCode::BadRequest, "the Idempotency-Key is too long"));
         }
         serve(std::move(call));
     }
@@ -161,7 +162,7 @@
     }
 
 private:
-    static constexpr std::size_t longestIdempotencyKey = 256;
+    static constexpr std::size_t maxIdempotencyKeyLength = 256;
 
     bool begin()
     {
@@ -190,16 +191,16 @@
         return settings_->policy(organisation_, service);
     }
 
-    /// The body must not be read where its residency forbids it, yet a chat request names its model in the body: without the
-    /// header every model that the organisation could mean has to be allowed here.
+    /// Checks residency before the body is read. The body must not be read in a region where residency forbids it, but a chat
+    /// request names its model in the body: without the header all models must be allowed here.
     bool checkResidencyBeforeBody()
     {
         const std::string named = request_.get_header_value(serviceHeader);
         const std::string &region = settings_->place().region;
         for (const ServiceSettings &service : settings_->services()) {
-            const bool concerned = service.kind == ServiceKind::Model && (named.empty() || named == service.name);
-            if (concerned && !policyFor(service.name).allowsRegion(region)) {
-                fail(refusal(
+            const bool isCandidate = service.kind == ServiceKind::Model && (named.empty() || named == service.name);
+            if (isCandidate && !policyFor(service.name).allowsRegion(region)) {
+                fail(notRun(
                     ErrorCode::ResidencyForbids,
                     "a model of this organisation must not be served from this region; ask for entry VMs, or name the model "
                     "in an X-Service header"));
@@ -219,8 +220,8 @@
         bool tooSlow = false;
         bool tooLarge = false;
         const bool whole = (*reader)([&](const char *bytes, std::size_t size) {
-            tooSlow = parts_.clock.monotonic() - begin > longestBodyTime;
-            tooLarge = body_.size() + size > largestBody;
+            tooSlow = parts_.clock.monotonic() - begin > maxBodyTime;
+            tooLarge = body_.size() + size > maxBodyBytes;
             if (tooSlow || tooLarge) {
                 return false;
             }
@@ -232,8 +233,8 @@
         }
         response_.set_header("Connection", "close");
         const bool large = tooLarge || response_.status == httpStatusOf(ErrorCode::BodyTooLarge);
-        fail(large ? refusal(ErrorCode::BodyTooLarge, fmt::format("the body exceeds {} bytes", largestBody))
-                   : refusal(ErrorCode::BadRequest, tooSlow ? "the body came too slowly" : "the body is incomplete"));
+        fail(large ? notRun(ErrorCode::BodyTooLarge, fmt::format("the body exceeds {} bytes", maxBodyBytes))
+                   : notRun(ErrorCode::BadRequest, tooSlow ? "the body was received too slowly" : "the body is incomplete"));
         return false;
     }
 
@@ -248,7 +249,7 @@
         call.facts.arrivedAt = arrivedAt_;
         call.facts.deadline = arrivedAt_ + policyFor(service).deadline;
         for (const auto &[name, value] : request_.headers) {
-            if (isForUpstream(name)) {
+            if (isForwardedHeader(name)) {
                 call.headers.push_back(HeaderField{ name, value });
             }
         }
@@ -270,17 +271,17 @@
         if (call.streamed) {
             serveStream(std::move(call), std::move(valueOf(permit)));
         } else {
-            serveWhole(std::move(call));
+            serveBuffered(std::move(call));
         }
     }
 
-    void serveWhole(Call call)
+    void serveBuffered(Call call)
     {
         BufferedAnswer answer;
         const Status status = parts_.dispatcher.run(std::move(call), answer);
         if (answer.tooLarge()) {
-            return fail(Error{ ErrorCode::UpstreamFailed, "the answer is larger than a whole answer may be", RunState::MayHaveRun,
-                               std::nullopt });
+            return fail(Error{ ErrorCode::UpstreamFailed, "the answer exceeds the size limit of an answer that is not streamed",
+                               RunState::MayHaveRun, std::nullopt });
         }
         if (!isOk(status)) {
             return fail(errorOf(status));
@@ -291,33 +292,34 @@
     void serveStream(Call call, Permit permit)
     {
         auto channel = std::make_shared<AnswerChannel>();
-        auto held = std::make_shared<Permit>(std::move(permit));
+        auto sharedPermit = std::make_shared<Permit>(std::move(permit));
         Dispatcher &dispatcher = parts_.dispatcher;
-        const bool taken = server_.streams_.submit([&dispatcher, channel, held, activity = activity_, call = std::move(call)] {
-            channel->finish(dispatcher.run(call, *channel));
-        });
-        if (!taken) {
-            return fail(
-                Error{ ErrorCode::Overloaded, "this VM serves as many streams as it can", RunState::NotRun, Millis{ 1000 } });
+        const bool accepted
+            = server_.streams_.submit([&dispatcher, channel, sharedPermit, activity = activity_, call = std::move(call)] {
+                  channel->finish(dispatcher.run(call, *channel));
+              });
+        if (!accepted) {
+            return fail(Error{ ErrorCode::Overloaded, "this VM has reached its limit of concurrent streams", RunState::NotRun,
+                               Millis{ 1000 } });
         }
         const Result<AnswerHead> head = channel->awaitHead();
         if (!isOk(head)) {
             return fail(errorOf(head));
         }
-        passStream(valueOf(head), channel);
+        forwardStream(valueOf(head), channel);
     }
 
-    void passStream(const AnswerHead &head, const std::shared_ptr<AnswerChannel> &channel)
+    void forwardStream(const AnswerHead &head, const std::shared_ptr<AnswerChannel> &channel)
     {
         response_.status = head.status;
         const std::string type = writeHeaders(head, response_);
-        // The guard rides along: a planned stop waits until the last byte has left, not only until it was produced.
+        // The provider holds the activity guard, so that a graceful stop waits until the last byte is sent, not just produced.
         response_.set_chunked_content_provider(
-            type, [channel, activity = activity_](std::size_t, httplib::DataSink &sink) { return passSome(*channel, sink); },
+            type, [channel, activity = activity_](std::size_t, httplib::DataSink &sink) { return forwardChunk(*channel, sink); },
             [channel](bool) { channel->abandon(); });
     }
 
-    static bool passSome(AnswerChannel &channel, httplib::DataSink &sink)
+    static bool forwardChunk(AnswerChannel &channel, httplib::DataSink &sink)
     {
         std::string bytes;
         switch (channel.read(bytes, callerCheckInterval)) {
@@ -329,7 +331,7 @@
             sink.done();
             return true;
         case ReadState::Failed:
-            // Without the closing chunk no client can take the stream for whole.
+            // Without the final chunk no client can mistake the stream for complete.
             return false;
         }
         return false;
@@ -355,7 +357,7 @@
 EntryServer::EntryServer(EntryParts parts)
     : parts_(std::move(parts))
     , streams_("stream", parts_.maximumStreams, 0)
-    , server_("entry", HttpServerLimits{ .maximumThreads = parts_.maximumStreams * 2, .maximumBodyBytes = largestBody })
+    , server_("entry", HttpServerLimits{ .maximumThreads = parts_.maximumStreams * 2, .maximumBodyBytes = maxBodyBytes })
 {
     addRoutes();
 }
--- a/src/portpaddle/entry/entry_server.h
+++ b/src/portpaddle/entry/entry_server.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The listener for callers: chat completions, models, plain services and the list of entry VMs.
+/// The HTTP server for callers: chat completions, models, plain services and the list of entry VMs.
 #pragma once
 
 #include "portpaddle/base/activity_counter.h"
@@ -19,7 +19,7 @@
 class Metrics;
 class RandomSource;
 
-/// What the entry server works with; all must outlive it.
+/// The dependencies of the entry server; the referenced objects must outlive it.
 struct EntryParts
 {
     std::string daemon;
@@ -32,7 +32,7 @@
     std::size_t maximumStreams = 1024;
 };
 
-/// Serves callers.
+/// Authenticates the requests of callers and runs them within their limits.
 class EntryServer
 {
 public:
@@ -40,7 +40,7 @@
     ~EntryServer();
 
     Result<SocketAddress> start(const SocketAddress &address);
-    /// Waits for the requests in progress; new ones are refused once the blackboard says draining.
+    /// Waits until no request is in progress; new ones are refused while the blackboard is set to draining.
     void finishRequests();
     void stop();
     std::size_t requestsInProgress() const;
