--- a/src/portpaddle/control/settings_controller.h
+++ b/src/portpaddle/control/settings_controller.h
@@ -46,7 +46,7 @@
 
     void start();
     void stop();
-    /// Notes that a peer holds @p version; a newer version than the own one is requested from it.
+    /// Notes that a peer holds @p version; a version newer than this daemon's is requested from it.
     void hint(const std::string &daemon, std::uint64_t version);
     /// Returns the reply for a peer that holds version @p after: changes, or a snapshot if those are no longer kept.
     std::string changesAfter(std::uint64_t after) const;
--- a/src/portpaddle/entry/authenticator.cpp
+++ b/src/portpaddle/entry/authenticator.cpp
@@ -22,7 +22,7 @@
 constexpr Millis recheckAfter = 5min;
 /// Interval at which the lookup of a known key is retried while the directory does not answer.
 constexpr Millis retryAfterFailure = 5s;
-/// A known key is accepted for this long while the directory does not answer.
+/// While the directory does not answer, a known key is accepted for this long after its last successful lookup.
 constexpr Millis maxOfflineTrust = 12h;
 constexpr Millis unknownKeyCacheTime = 10s;
 /// Maximum lookups of unknown keys per second; limits the load that guessed keys cause on the platform.
--- a/src/portpaddle/entry/entry_list.cpp
+++ b/src/portpaddle/entry/entry_list.cpp
@@ -30,7 +30,7 @@
     });
 }
 
-/// Returns the sort key of a member: own data centre first, then own region, then the nearest regions.
+/// Returns the sort key of a member: local data centre first, then the local region, then the nearest regions.
 double distance(const CompiledSettings &settings, const MemberView &member)
 {
     if (member.dataCentre == settings.place().dataCentre) {
--- a/src/portpaddle/link/call_frame.cpp
+++ b/src/portpaddle/link/call_frame.cpp
@@ -65,7 +65,7 @@
 
 Call callFromFrame(const Wire::OpenRequestT &frame, Millis now)
 {
-    // Bounds the deadline that a peer can set to the longest one that the settings allow (one day, in milliseconds).
+    // A peer cannot set a longer deadline than the settings allow: one day.
     constexpr std::uint64_t maxRemainingMs = 86'400'000;
     Call call;
     call.method = frame.method;
--- a/src/portpaddle/membership/fleet_figures.h
+++ b/src/portpaddle/membership/fleet_figures.h
@@ -16,7 +16,7 @@
 
 namespace Portpaddle {
 
-/// Keeps the figure with the highest sequence number of each subject. Time is passed in.
+/// Keeps the newest figure of each subject, by sequence number. Time is passed in.
 class FleetFigures
 {
 public:
@@ -27,11 +27,11 @@
     bool storeIfNewer(const DataCentreSummary &summary);
     bool storeIfNewer(const DemandReport &report, Millis now);
 
-    /// Creates and stores the next summary of the own data centre.
+    /// Creates and stores the next summary of the local data centre.
     DataCentreSummary nextSummary(const std::vector<SummaryEntry> &entries, Millis now);
     /// Returns the demand at this daemon, for gossip within its data centre.
     DemandReport ownDemand(const OwnDemand &own, std::uint64_t sequence) const;
-    /// Creates and stores the next total demand at the own data centre.
+    /// Creates and stores the next total demand at the local data centre.
     DemandReport nextDemandTotal(const OwnDemand &own, Millis now);
 
     const std::map<std::string, DataCentreSummary> &summaries() const;
--- a/src/portpaddle/membership/gossip_items.h
+++ b/src/portpaddle/membership/gossip_items.h
@@ -27,7 +27,7 @@
 
     /// Adds or replaces the item about the payload's subject; the item is dropped after @p times transmissions.
     void add(const Payload &payload, unsigned times);
-    /// Adds items to @p message up to @p limits. Items confined to the own data centre are left out unless @p sameDataCentre.
+    /// Adds items to @p message up to @p limits. Items confined to the local data centre are left out unless @p sameDataCentre.
     void fill(GossipMessage &message, const FillLimits &limits, bool sameDataCentre);
     bool hasMemberUpdates() const;
     std::size_t size() const;
--- a/src/portpaddle/membership/gossip_message.h
+++ b/src/portpaddle/membership/gossip_message.h
@@ -70,8 +70,7 @@
     std::vector<ServiceFigures> services;
 };
 
-/// The request rate of an organisation at one daemon, gossiped within its data centre, or at a whole data centre, gossiped to
-/// all.
+/// The request rate of an organisation at one daemon (gossiped within its data centre) or at a data centre (gossiped to all).
 struct DemandReport
 {
     /// The name of a daemon, or "dc:" and the name of a data centre.
--- a/src/portpaddle/membership/gossip_node.cpp
+++ b/src/portpaddle/membership/gossip_node.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned indirectProbes = 2;
 /// Member records that each probe repeats for anti-entropy; more would crowd out load figures.
 constexpr unsigned antiEntropyRecords = 1;
-/// Every this many probe rounds a member that is believed dead is probed: it may have come back.
+/// A member that is believed dead is probed once in this many probe rounds, as it may have come back.
 constexpr unsigned deadProbeInterval = 5;
 constexpr std::size_t maxRelays = 256;
 constexpr double budgetBurstSeconds = 1;
--- a/src/portpaddle/membership/gossip_node.h
+++ b/src/portpaddle/membership/gossip_node.h
@@ -46,7 +46,7 @@
     std::vector<UpstreamDigest> upstreams;
     bool membersChanged = false;
     bool summariesChanged = false;
-    /// The highest settings version that a peer announced; zero if none is newer than the own one.
+    /// The highest settings version that a peer announced; zero if none is newer than this daemon's.
     std::uint64_t settingsVersion = 0;
     /// The peer that announced this version.
     std::string settingsPeer;
@@ -83,7 +83,7 @@
     const std::map<std::string, DataCentreSummary> &summaries() const;
     std::vector<OthersDemand> othersDemand(Millis now) const;
     const MemberList &members() const;
-    /// Returns the live members of the own data centre, this one included, sorted by id.
+    /// Returns the live members of the local data centre, this one included, sorted by id.
     std::vector<std::string> localMembers() const;
     /// Whether this daemon is among the first @p places of its data centre's rendezvous ranking for @p subject.
     bool isResponsibleFor(const std::string &subject, unsigned places = 1) const;
@@ -121,7 +121,7 @@
     void applyUpdate(const MemberUpdate &update, Millis now);
     void announceMember(const MemberUpdate &update);
     void noteSender(const GossipMessage &message, Millis now);
-    /// Returns how often an item is sent to reach the own data centre, or all members.
+    /// Returns how often an item is sent to reach the local data centre, or all members.
     unsigned localTransmissions() const;
     unsigned globalTransmissions() const;
     bool isDataCentreReachable(const std::string &dataCentre, Millis now) const;
--- a/src/portpaddle/membership/member_list.h
+++ b/src/portpaddle/membership/member_list.h
@@ -33,11 +33,11 @@
 
     const MemberUpdate &self() const;
     const std::map<std::string, MemberRecord> &records() const;
-    /// Whether @p id is a known member of the own data centre.
+    /// Whether @p id is a known member of the local data centre.
     bool isLocal(const std::string &id) const;
     const MemberRecord *find(const std::string &id) const;
 
-    /// Applies a received update. RefutationNeeded means that the own incarnation was raised and must be announced.
+    /// Applies a received update. RefutationNeeded means that this daemon's incarnation was raised and must be announced.
     UpdateEffect apply(const MemberUpdate &update, Millis now);
     void recordContact(const std::string &id, Millis now);
     /// Marks a member that did not answer a probe; returns false if nothing changed.
@@ -48,7 +48,7 @@
     /// Removes members that have been dead for @p after.
     void forgetDead(Millis after, Millis now);
 
-    /// Returns the members of @p dataCentre (of all when empty) that are not dead, without the own daemon.
+    /// Returns the members of @p dataCentre (of all when empty) that are not dead, without this daemon.
     std::vector<std::string> activeMembers(const std::string &dataCentre) const;
 
 private:
--- a/src/portpaddle/membership/probe_targets.h
+++ b/src/portpaddle/membership/probe_targets.h
@@ -20,7 +20,7 @@
 public:
     ProbeTargets(const MemberList &members, RandomSource &random);
 
-    /// Returns each member of the own data centre once per round; every round has a new random order.
+    /// Returns each member of the local data centre once per round; every round has a new random order.
     std::optional<std::string> nextLocal();
     /// Returns a member of a random other data centre.
     std::optional<std::string> randomRemote();
