--- a/src/portpaddle/dispatch/dispatcher.cpp
+++ b/src/portpaddle/dispatch/dispatcher.cpp
@@ -275,9 +275,9 @@
         const Millis endedAt = parts_.clock.monotonic();
         owner_.queue_.wakeOne(endedAt);
         if (result.end == AttemptEnd::Complete && sink_.whole()) {
-            parts_.board.upstreams.attemptSucceeded(view.id);
+            parts_.board.upstreams.recordSuccess(view.id);
         } else if (result.end != AttemptEnd::ReceiverGone && result.error.code != ErrorCode::Overloaded) {
-            parts_.board.upstreams.attemptFailed(view.id, endedAt);
+            parts_.board.upstreams.recordFailure(view.id, endedAt);
         }
         call_.facts.tried.push_back(view.id);
         return result;
--- a/src/portpaddle/dispatch/trace_ring.cpp
+++ b/src/portpaddle/dispatch/trace_ring.cpp
@@ -36,7 +36,7 @@
     json["prefill_ms"] = outcome.prefillMs;
     json["score"] = outcome.score;
     const RequestPolicy &policy = snapshot.settings->policy(trace.organisation, trace.service);
-    const SettingOrigin *origin = policy.originOf(settingBehind(outcome.reason));
+    const SettingOrigin *origin = policy.originOf(settingKeyOf(outcome.reason));
     if (origin != nullptr) {
         json["because_of"] = describeOrigin(*origin);
     }
--- a/src/portpaddle/routing/blackboard.h
+++ b/src/portpaddle/routing/blackboard.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What the controllers of a daemon share: each writes its own section, the request path reads snapshots.
+/// State shared by the controllers of a daemon: each controller publishes its own section, the request path reads snapshots.
 #pragma once
 
 #include "portpaddle/base/rcu_cell.h"
@@ -16,7 +16,7 @@
 
 namespace Portpaddle {
 
-/// Another daemon as membership sees it.
+/// A daemon of the fleet as membership knows it.
 struct MemberView
 {
     std::string id;
@@ -29,17 +29,17 @@
     bool leaving = false;
 };
 
-/// All known daemons, this one included.
+/// All known daemons, including this one.
 struct MemberTable
 {
     std::vector<MemberView> members;
-    /// Whether daemons are missing that nobody says have left.
+    /// Whether daemons are missing that are not known to have left.
     bool partitioned = false;
-    /// Daemons that count for limits: live ones and those that vanished recently.
+    /// The number of daemons among which limits are divided: live ones and those that disappeared recently.
     unsigned counted = 1;
 };
 
-/// What another data centre said of one service.
+/// The load of one service in another data centre, as that data centre reported it.
 struct SummaryEntry
 {
     std::string dataCentre;
@@ -52,20 +52,20 @@
     Millis observedAt{ 0 };
 };
 
-/// Summaries of all other data centres.
+/// The summaries of all other data centres.
 struct SummaryTable
 {
     std::vector<SummaryEntry> entries;
 };
 
-/// Whether the platform answers.
+/// Whether the platform answers, and since when this has been so.
 struct PlatformView
 {
     bool reachable = false;
     Millis since{ 0 };
 };
 
-/// The sections and the picture for decisions that is built from them.
+/// Holds the sections and the routing snapshot that is built from them.
 class Blackboard
 {
 public:
--- a/src/portpaddle/routing/decision.cpp
+++ b/src/portpaddle/routing/decision.cpp
@@ -16,35 +16,37 @@
 namespace {
 
 constexpr NameTable<Verdict, 4> verdictNames{ { "serve", "forward", "wait", "refuse" } };
-constexpr NameTable<ExclusionReason, 18> lossReasonNames{ { "chosen", "leaving", "unhealthy", "version_absent", "already_tried",
-                                                            "full", "worse_score", "residency_forbids", "already_visited",
-                                                            "hop_limit", "unreachable", "no_capacity", "stale", "share_spent",
-                                                            "margin_not_reached", "too_late", "upstream_limit", "backing_off" } };
-
-/// Part of a prompt that the engine ranked first by rendezvous is expected to hold.
-constexpr double expectedPrefixHit = 0.9;
-/// Predicted slow-down of a token stream on a full engine against an empty one, in ms to the first token.
+constexpr NameTable<ExclusionReason, 18> exclusionReasonNames{
+    { "chosen", "leaving", "unhealthy", "version_absent", "already_tried", "full", "worse_score", "residency_forbids",
+      "already_visited", "hop_limit", "unreachable", "no_capacity", "stale", "share_spent", "margin_not_reached", "too_late",
+      "upstream_limit", "backing_off" }
+};
+
+/// Share of a prompt that is expected in the prefix cache of the engine that rendezvous hashing ranks first.
+constexpr double expectedPrefixHitShare = 0.9;
+/// Predicted slow-down of a stream on a full engine compared with an empty one, expressed in ms until the first token.
 constexpr double fullBatchPenaltyMs = 40;
-/// What one request served in another region costs in the operator's currency, in ms.
-constexpr double awayUnitMs = 100;
-/// Part of the slots that deferrable work leaves free for interactive requests.
-constexpr double interactiveReserve = 0.25;
-/// Load above the slots that an engine may be given: its own queue keeps the batch full between two reports.
+/// Cost of serving one request in another region, expressed in ms of latency; multiplied by the away weight of the policy.
+constexpr double awayPenaltyMs = 100;
+/// Share of the slots that deferrable requests leave free for interactive ones.
+constexpr double interactiveReserveShare = 0.25;
+/// Share of the slots by which an engine may be overcommitted, so that its own queue keeps the batch full between two reports.
 constexpr double engineQueueAllowance = 0.125;
-/// Remote summaries older than this are not acted on.
-constexpr Millis oldestSummary{ 15'000 };
+/// Remote summaries that are older than this are ignored.
+constexpr Millis maxSummaryAge{ 15'000 };
+/// Expected processing time of a request to a service that is not a model.
 constexpr double plainServiceMs = 20;
-/// What latency counts for work that may wait, against work that somebody waits for.
-constexpr double deferrableLatencyPart = 0.2;
-/// Until the next reports, when a full engine may have room.
-constexpr double usualWaitMs = 300;
-constexpr double usualAnswerTokens = 256;
-/// A data centre that is busier than this is taken to send requests away itself.
-constexpr double overflowingPart = 0.9;
-constexpr Millis shortestRetryAfter{ 250 };
-constexpr Millis longestRetryAfter{ 30'000 };
-
-/// Works out one decision; lives only for the call.
+/// Weight of latency for deferrable requests relative to interactive ones.
+constexpr double deferrableLatencyFactor = 0.2;
+/// Expected wait until the next reports, when a full engine may have free slots.
+constexpr double typicalReportWaitMs = 300;
+constexpr double typicalAnswerTokens = 256;
+/// A data centre whose load reaches this share of its capacity is assumed to forward requests as well.
+constexpr double overflowLoadShare = 0.9;
+constexpr Millis minRetryAfter{ 250 };
+constexpr Millis maxRetryAfter{ 30'000 };
+
+/// Evaluates one decision. An instance exists only for the duration of decide().
 class Decider
 {
 public:
@@ -62,22 +64,22 @@
         isModel_ = service == nullptr || service->kind == ServiceKind::Model;
         const bool interactive = policy_.requestClass == RequestClass::Interactive;
         const double age = static_cast<double>((now - facts.arrivedAt).count()) / static_cast<double>(deferrableAging.count());
-        reserve_ = interactive ? 0 : interactiveReserve * std::clamp(1 - age, 0.0, 1.0);
-        mayWait_ = !interactive && age < 1;
+        reservedShare_ = interactive ? 0 : interactiveReserveShare * std::clamp(1 - age, 0.0, 1.0);
+        isDeferrable_ = !interactive && age < 1;
     }
 
     Decision run()
     {
         decision_.candidates.reserve(routes_.local.size() + routes_.remote.size());
         if (!policy_.allowsRegion(snapshot_.settings->place().region)) {
-            // The body must not be read here, so neither local engines nor waiting are open; sending on is not either,
-            // because this daemon would have to touch the data.
+            // The body must not be read in this region, which rules out local engines and waiting. Forwarding is ruled out as
+            // well, because this daemon would have to handle the data.
             return refuse(ErrorCode::ResidencyForbids);
         }
         rankPrefixHolders();
         considerLocal();
         considerRemote();
-        return conclude();
+        return chooseVerdict();
     }
 
 private:
@@ -89,9 +91,9 @@
             if (view.leaving != LeavingSignal::None || !view.healthy) {
                 continue;
             }
-            const double draw = rendezvousScore(facts_.prefixHash, view.idHash, view.slots);
-            if (draw > best) {
-                best = draw;
+            const double holderScore = rendezvousScore(facts_.prefixHash, view.idHash, view.slots);
+            if (holderScore > best) {
+                best = holderScore;
                 prefixHolder_ = position;
             }
         }
@@ -134,17 +136,17 @@
         const bool interactive = policy_.requestClass == RequestClass::Interactive;
         const double queued = view.load.queuedInteractive + (interactive ? 0 : view.load.queuedDeferrable);
         const double busy = view.load.running + queued + own;
-        const double usable = slots * (1.0 - reserve_);
+        const double usable = slots * (1.0 - reservedShare_);
         const double wait = expectedExcess(busy + 1 - usable, slots) * turnoverMs() / slots;
-        const double cold = prefillMs(position == prefixHolder_ ? 1.0 - expectedPrefixHit : 1.0);
-        const double batch = isModel_ ? fullBatchPenaltyMs * std::min(1.0, busy / slots) : plainServiceMs * busy / slots;
+        const double prefill = prefillMs(position == prefixHolder_ ? 1.0 - expectedPrefixHitShare : 1.0);
+        const double batchDelay = isModel_ ? fullBatchPenaltyMs * std::min(1.0, busy / slots) : plainServiceMs * busy / slots;
         outcome.waitMs = static_cast<float>(wait);
-        outcome.prefillMs = static_cast<float>(cold);
-        outcome.score = static_cast<float>(latencyWeight() * (wait + cold + batch) + policy_.costWeight * cold);
+        outcome.prefillMs = static_cast<float>(prefill);
+        outcome.score = static_cast<float>(latencyWeight() * (wait + prefill + batchDelay) + policy_.costWeight * prefill);
         shortestWait_ = std::min(shortestWait_, wait);
-        if (busy + 1 > usable + slots * engineQueueAllowance || !withinLocalShare(usable - view.load.running - queued, own)) {
+        if (busy + 1 > usable + slots * engineQueueAllowance || !fitsLocalShare(usable - view.load.running - queued, own)) {
             outcome.reason = ExclusionReason::Full;
-            fullScore_ = std::min(fullScore_, static_cast<double>(outcome.score));
+            bestFullScore_ = std::min(bestFullScore_, static_cast<double>(outcome.score));
         }
     }
 
@@ -177,7 +179,7 @@
         if (!view.reachable) {
             return ExclusionReason::Unreachable;
         }
-        if (now_ - view.observedAt > oldestSummary) {
+        if (now_ - view.observedAt > maxSummaryAge) {
             return ExclusionReason::Stale;
         }
         const bool hasVersion = policy_.version.empty()
@@ -193,51 +195,55 @@
         const std::string &here = snapshot_.settings->place().region;
         const double own = view.slot < own_.remotes.size() ? own_.remotes[view.slot] : 0;
         const double busy = view.busy + view.queued + own;
-        const double capacity = view.capacity * (1.0 - reserve_);
+        const double capacity = view.capacity * (1.0 - reservedShare_);
         const double wait = expectedExcess(busy + 1 - capacity, view.capacity) * turnoverMs() / view.capacity;
         const double link = 2 * snapshot_.settings->linkMs(here, view.region);
-        const double cold = prefillMs(1.0);
-        const double away = view.region == here ? 0 : policy_.awayWeight * awayUnitMs;
-        const double batch = fullBatchPenaltyMs * std::min(1.0, busy / view.capacity);
+        const double prefill = prefillMs(1.0);
+        const double awayPenalty = view.region == here ? 0 : policy_.awayWeight * awayPenaltyMs;
+        const double batchDelay = fullBatchPenaltyMs * std::min(1.0, busy / view.capacity);
         outcome.waitMs = static_cast<float>(wait + link);
-        outcome.prefillMs = static_cast<float>(cold);
-        outcome.score = static_cast<float>(latencyWeight() * (wait + link + cold + batch) + policy_.costWeight * cold + away);
-        if (!withinShare(view, capacity - view.busy - view.queued, own)) {
+        outcome.prefillMs = static_cast<float>(prefill);
+        outcome.score = static_cast<float>(latencyWeight() * (wait + link + prefill + batchDelay) + policy_.costWeight * prefill
+                                           + awayPenalty);
+        if (!fitsRemoteShare(view, capacity - view.busy - view.queued, own)) {
             outcome.reason = ExclusionReason::ShareSpent;
-            // The next summary brings a new share: waiting for it here beats a refusal.
+            // The next summary brings a new share, so that waiting for it is better than a refusal.
             shortestWait_ = std::min(shortestWait_, wait);
         }
     }
 
-    /// Work that may wait is not sent on the strength of a report that all daemons here read alike: each takes its share of
-    /// the free slots, or what is kept free for interactive requests would be overrun between two reports.
-    bool withinLocalShare(double free, double own)
+    /// Whether a request fits into this daemon's share of the @p free slots of a local engine; always true for a request
+    /// that is not deferrable. All local daemons act on the same report: without shares, deferrable requests of all of them would
+    /// fill the slots reserved for interactive requests between two reports.
+    bool fitsLocalShare(double free, double own)
     {
-        return !mayWait_ || takesShare(free / std::max(1U, snapshot_.localDaemons), own);
+        return !isDeferrable_ || fitsShare(free / std::max(1U, snapshot_.localDaemons), own);
     }
 
-    /// Whether one more fits a share; of a fraction by chance.
-    bool takesShare(double share, double own)
+    /// Whether one more request fits into @p share. A fractional rest admits it with that probability.
+    bool fitsShare(double share, double own)
     {
         const double left = share - own;
         return left >= 1 || (left > 0 && random_.fraction() < left);
     }
 
-    /// Every daemon outside acts on the same summary: each takes only its share of the free slots, a fraction by chance.
-    bool withinShare(const RemoteView &target, double free, double own)
+    /// Whether a request fits into this daemon's share of the @p free slots of @p target. All daemons that may send there act
+    /// on the same summary, so each of them uses only its share.
+    bool fitsRemoteShare(const RemoteView &target, double free, double own)
     {
         if (free <= 0) {
             return false;
         }
-        return takesShare(free / sendersBeside(target), own);
+        return fitsShare(free / countCompetingSenders(target), own);
     }
 
-    /// Daemons that may be sending to @p target now: those here, and those of other data centres that are full too.
-    unsigned sendersBeside(const RemoteView &target) const
+    /// Number of daemons that may be sending to @p target now: the local ones, and those of other data centres that are
+    /// nearly full.
+    unsigned countCompetingSenders(const RemoteView &target) const
     {
         unsigned senders = std::max(1U, snapshot_.localDaemons);
         for (const RemoteView &view : routes_.remote) {
-            const bool overflowing = view.busy + view.queued >= overflowingPart * view.capacity;
+            const bool overflowing = view.busy + view.queued >= overflowLoadShare * view.capacity;
             if (view.dataCentre != target.dataCentre && overflowing) {
                 senders += view.daemons;
             }
@@ -251,24 +257,24 @@
         if (outcome.reason != ExclusionReason::None) {
             return;
         }
-        const std::size_t mine = decision_.candidates.size() - 1;
+        const std::size_t current = decision_.candidates.size() - 1;
         if (!best) {
-            best = mine;
+            best = current;
             return;
         }
         CandidateOutcome &previous = decision_.candidates[*best];
         const bool better = outcome.score < previous.score || (outcome.score == previous.score && random_.below(2) == 0);
         if (better) {
             previous.reason = ExclusionReason::WorseScore;
-            best = mine;
+            best = current;
         } else {
-            decision_.candidates[mine].reason = ExclusionReason::WorseScore;
+            decision_.candidates[current].reason = ExclusionReason::WorseScore;
         }
     }
 
-    Decision conclude()
+    Decision chooseVerdict()
     {
-        if (bestRemote_ && !remoteWins()) {
+        if (bestRemote_ && !prefersRemote()) {
             decision_.candidates[*bestRemote_].reason = ExclusionReason::MarginNotReached;
             bestRemote_.reset();
         }
@@ -278,27 +284,29 @@
             }
             return choose(Verdict::Forward, *bestRemote_);
         }
-        if (bestLocal_ && !worthWaiting()) {
+        if (bestLocal_ && !prefersWaiting()) {
             return choose(Verdict::Serve, *bestLocal_);
         }
         return waitOrRefuse();
     }
 
-    bool remoteWins() const
+    bool prefersRemote() const
     {
         const double remote = decision_.candidates[*bestRemote_].score + policy_.awayMarginMs;
         if (bestLocal_) {
             return remote < decision_.candidates[*bestLocal_].score;
         }
-        // Work that may wait is not worth a cold cache and a slow link while its own engines are merely busy.
-        const bool hasFullLocal = std::isfinite(fullScore_);
-        return !hasFullLocal || remote < fullScore_;
+        // Full local engines count as well: a cold cache and a slow link are not worth it while the local engines are merely
+        // busy.
+        const bool hasFullLocalEngine = std::isfinite(bestFullScore_);
+        return !hasFullLocalEngine || remote < bestFullScore_;
     }
 
-    /// Work that may wait does so for the engine that holds its prefix rather than be read anew elsewhere.
-    bool worthWaiting() const
+    /// Whether a deferrable request should wait for a full engine that holds its prefix instead of computing the prefix again
+    /// on another engine.
+    bool prefersWaiting() const
     {
-        return mayWait_ && fullScore_ + latencyWeight() * usualWaitMs < decision_.candidates[*bestLocal_].score;
+        return isDeferrable_ && bestFullScore_ + latencyWeight() * typicalReportWaitMs < decision_.candidates[*bestLocal_].score;
     }
 
     Decision choose(Verdict verdict, std::size_t candidate)
@@ -311,19 +319,19 @@
     Decision waitOrRefuse()
     {
         if (!std::isfinite(shortestWait_)) {
-            return refuse(nothingUsable());
+            return refuse(noCandidateError());
         }
-        const bool patient = policy_.requestClass == RequestClass::Deferrable || shortestWait_ <= policy_.queueLimit.count();
-        if (!patient) {
+        const bool mayQueue = policy_.requestClass == RequestClass::Deferrable || shortestWait_ <= policy_.queueLimit.count();
+        if (!mayQueue) {
             const Millis wait{ static_cast<std::int64_t>(shortestWait_) };
-            decision_.retryAfter = std::clamp(wait, shortestRetryAfter, longestRetryAfter);
+            decision_.retryAfter = std::clamp(wait, minRetryAfter, maxRetryAfter);
             return refuse(ErrorCode::Overloaded);
         }
         decision_.verdict = Verdict::Wait;
         return std::move(decision_);
     }
 
-    ErrorCode nothingUsable() const
+    ErrorCode noCandidateError() const
     {
         const bool onlyResidency = routes_.local.empty() && !routes_.remote.empty()
             && std::all_of(decision_.candidates.begin(), decision_.candidates.end(),
@@ -348,22 +356,24 @@
 
     double latencyWeight() const
     {
-        return policy_.latencyWeight * (policy_.requestClass == RequestClass::Interactive ? 1 : deferrableLatencyPart);
+        return policy_.latencyWeight * (policy_.requestClass == RequestClass::Interactive ? 1 : deferrableLatencyFactor);
     }
 
-    /// How long requests hold a slot; what holds the slots now is not this request but the usual mix.
+    /// Expected time for which a request occupies a slot. The slots are occupied by other requests, so the estimate assumes an
+    /// answer of typical length rather than the length of this request's answer.
     double turnoverMs() const
     {
-        return isModel_ ? policy_.tokenMs * usualAnswerTokens : plainServiceMs;
+        return isModel_ ? policy_.tokenMs * typicalAnswerTokens : plainServiceMs;
     }
 
-    /// Requests ahead of this one beyond the slots. Reports are late: close to full, an engine may be full by now, so that the
-    /// expectation rises smoothly before the slots run out, over about a slot, and over less on small engines.
+    /// Expected number of requests beyond the slots, as a softplus of @p excess. Reports lag behind, and an engine that is
+    /// nearly full may be full by now: the expectation therefore rises smoothly before the slots run out, over a width of
+    /// about one slot and less on small engines.
     static double expectedExcess(double excess, double slots)
     {
-        constexpr double certain = 20;
+        constexpr double linearAbove = 20;
         const double width = std::clamp(slots / 8, 0.1, 1.0);
-        return excess > certain ? excess : width * std::log1p(std::exp(excess / width));
+        return excess > linearAbove ? excess : width * std::log1p(std::exp(excess / width));
     }
 
     const RoutingSnapshot &snapshot_;
@@ -374,15 +384,15 @@
     const RequestPolicy &policy_;
     const ServiceRoutes &routes_;
     bool isModel_ = true;
-    /// Part of the slots that this request must leave free.
-    double reserve_ = 0;
-    /// Deferrable and not aged yet.
-    bool mayWait_ = false;
+    /// Share of the slots that this request must leave free.
+    double reservedShare_ = 0;
+    /// Whether the request is deferrable and has not aged into an interactive one.
+    bool isDeferrable_ = false;
     std::size_t prefixHolder_ = std::numeric_limits<std::size_t>::max();
     std::optional<std::size_t> bestLocal_;
     std::optional<std::size_t> bestRemote_;
     double shortestWait_ = std::numeric_limits<double>::infinity();
-    double fullScore_ = std::numeric_limits<double>::infinity();
+    double bestFullScore_ = std::numeric_limits<double>::infinity();
     Decision decision_;
 };
 
@@ -395,10 +405,10 @@
 
 std::string_view nameOf(ExclusionReason reason)
 {
-    return lossReasonNames[reason];
+    return exclusionReasonNames[reason];
 }
 
-std::string_view settingBehind(ExclusionReason reason)
+std::string_view settingKeyOf(ExclusionReason reason)
 {
     switch (reason) {
     case ExclusionReason::ResidencyForbids:
--- a/src/portpaddle/routing/decision.h
+++ b/src/portpaddle/routing/decision.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The decision where a request runs: a pure function of snapshot, request, time and random source.
+/// Routing decision: a pure function of snapshot, request, time and random source that chooses where a request runs.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -17,38 +17,39 @@
 
 class RandomSource;
 
-/// Over this time a waiting deferrable request comes to be treated as an interactive one, so that it finishes in the end.
+/// A deferrable request gains priority while it waits and is treated as an interactive one after this time, which prevents
+/// starvation.
 inline constexpr Millis deferrableAging{ 60'000 };
 
-/// What a decision needs to know of a request; never its content.
+/// The properties of a request that a decision depends on. They never include the content of the request.
 struct RequestFacts
 {
     std::string requestId;
     std::string organisation;
     std::string service;
-    /// Hash of the beginning of the prompt; requests that share it share cached work.
+    /// Hash of the beginning of the prompt. Requests with the same hash can use the same cached prefix.
     std::uint64_t prefixHash = 0;
     unsigned promptTokens = 0;
     unsigned expectedTokens = 256;
     Millis arrivedAt{ 0 };
     Millis deadline{ 0 };
-    /// Data centres passed so far or asked in vain, the present one not included.
+    /// Data centres that the request passed through or that failed to serve it, without the present one.
     std::vector<std::string> visited;
-    /// Upstreams already tried in this data centre.
+    /// Upstreams of this data centre that were already tried.
     std::vector<std::string> tried;
 };
 
-/// Requests this daemon sent since the last report of each target, by position in the snapshot.
+/// The number of requests that this daemon sent to each target since the target's last report, by position in the snapshot.
 struct OwnDispatches
 {
     std::span<const std::uint32_t> upstreams;
     std::span<const std::uint32_t> remotes;
 };
 
-/// What happens to the request.
+/// What is done with the request.
 enum class Verdict { Serve, Forward, Wait, Refuse };
 
-/// Why a candidate was not chosen; None is the chosen one.
+/// Why a candidate was not chosen. None marks the chosen candidate.
 enum class ExclusionReason {
     None,
     Leaving,
@@ -72,13 +73,13 @@
 
 std::string_view nameOf(Verdict verdict);
 std::string_view nameOf(ExclusionReason reason);
-/// The settings key that produced @p reason; empty when state, not a setting, did.
-std::string_view settingBehind(ExclusionReason reason);
+/// Returns the settings key that causes @p reason; empty if the reason depends on no setting.
+std::string_view settingKeyOf(ExclusionReason reason);
 
-/// How one candidate fared. Times are predictions in milliseconds.
+/// The evaluation of one candidate. Times are predictions in milliseconds; a lower score is better.
 struct CandidateOutcome
 {
-    /// Position among the snapshot's upstreams, or among the service's remote views.
+    /// Position among the upstreams of the snapshot, or among the remote views of the service.
     std::uint32_t index = 0;
     bool remote = false;
     ExclusionReason reason = ExclusionReason::None;
@@ -87,20 +88,20 @@
     float score = 0;
 };
 
-/// The outcome with everything needed to explain it.
+/// The result of a decision with everything that is needed to explain it.
 struct Decision
 {
     Verdict verdict = Verdict::Refuse;
-    /// The chosen upstream's position, or the chosen remote view's.
+    /// Position of the chosen upstream (Serve) or of the chosen remote view (Forward).
     std::uint32_t target = 0;
     ErrorCode refusal = ErrorCode::NoUpstream;
     std::optional<Millis> retryAfter;
     std::vector<CandidateOutcome> candidates;
-    /// Keeps the names behind the positions alive.
+    /// The snapshot that the positions refer to.
     std::shared_ptr<const RoutingSnapshot> snapshot;
 };
 
-/// Decides; reads nothing but its arguments.
+/// Chooses where the request runs. Reads no state except its arguments.
 Decision decide(const std::shared_ptr<const RoutingSnapshot> &snapshot, const RequestFacts &facts, const OwnDispatches &own,
                 Millis now, RandomSource &random);
 
--- a/src/portpaddle/routing/rendezvous.cpp
+++ b/src/portpaddle/routing/rendezvous.cpp
@@ -15,8 +15,8 @@
     return XXH64(text.data(), text.size(), 0);
 }
 
-// The straw2 idea of CRUSH: scaling the logarithm of a uniform draw by the weight means that changing
-// one member's weight moves keys only to or from that member.
+// As in the straw2 buckets of CRUSH: the logarithm of a uniform hash is divided by the weight, so that changing the weight of one
+// member moves keys only to or from that member.
 double rendezvousScore(std::uint64_t key, std::uint64_t member, double weight)
 {
     if (weight <= 0) {
--- a/src/portpaddle/routing/rendezvous.h
+++ b/src/portpaddle/routing/rendezvous.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Weighted rendezvous hashing: every daemon ranks the same members alike without any agreement.
+/// Weighted rendezvous hashing: every daemon ranks the same members in the same order without coordination.
 #pragma once
 
 #include <cstdint>
@@ -9,9 +9,10 @@
 
 namespace Portpaddle {
 
-/// Hashes text; stable over versions of the program.
+/// Returns a hash of @p text that is the same in all versions of the program.
 std::uint64_t stableHash(std::string_view text);
-/// The draw of a member for a key; the member with the greatest draw wins. Draws are at most zero.
+/// Returns the score of @p member for @p key; the member with the greatest score is ranked first. Scores are at most zero, and
+/// negative infinity for a weight of zero or less.
 double rendezvousScore(std::uint64_t key, std::uint64_t member, double weight);
 
 } // namespace Portpaddle
--- a/src/portpaddle/routing/routing_snapshot.h
+++ b/src/portpaddle/routing/routing_snapshot.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What a decision may look at: an immutable picture of settings, upstreams and other data centres.
+/// The input of routing decisions: an immutable snapshot of settings, upstreams and other data centres.
 #pragma once
 
 #include "portpaddle/settings/compiled.h"
@@ -14,11 +14,11 @@
 
 namespace Portpaddle {
 
-/// Which signal said that an upstream is leaving.
+/// The source from which it is known that an upstream is leaving.
 enum class LeavingSignal { None, Settings, OwnReport, VmList };
 std::string_view nameOf(LeavingSignal signal);
 
-/// The load of an upstream as last reported.
+/// The number of requests at an upstream, as last reported.
 struct UpstreamLoad
 {
     unsigned running = 0;
@@ -26,65 +26,65 @@
     unsigned queuedDeferrable = 0;
 };
 
-/// An upstream of the daemon's own data centre.
+/// The state of an upstream in the daemon's own data centre.
 struct UpstreamView
 {
     std::string id;
     std::string address;
-    /// Hash of the id, for rendezvous.
+    /// Hash of the id for rendezvous hashing.
     std::uint64_t idHash = 0;
     unsigned slots = 1;
     UpstreamLoad load;
-    /// When the load was true, on the monotonic clock of this daemon.
+    /// When the load was observed, on the monotonic clock of this daemon.
     Millis observedAt{ 0 };
     LeavingSignal leaving = LeavingSignal::None;
     /// False while the upstream is ejected after failures.
     bool healthy = true;
-    /// Share of its slots that may be used while it warms up, in (0, 1].
+    /// Share of the slots that may be used, in (0, 1]; below 1 while the upstream warms up.
     double admitted = 1;
     bool checksFence = true;
 };
 
-/// An upstream that offers a service, with the version it has.
+/// An upstream that offers a service, and the version of the service that it runs.
 struct ServiceCandidate
 {
     std::uint32_t upstream = 0;
     std::string version;
 };
 
-/// Another data centre as known for one service.
+/// The state of one service in another data centre, as last reported.
 struct RemoteView
 {
     std::string dataCentre;
     std::string region;
-    /// Slots of all its upstreams that take new work.
+    /// Total slots of the upstreams there that accept new requests.
     unsigned capacity = 0;
     unsigned busy = 0;
     unsigned queued = 0;
     std::vector<std::string> versions;
     Millis observedAt{ 0 };
-    /// Whether a usable daemon there is known.
+    /// Whether at least one usable daemon is known there.
     bool reachable = false;
-    /// Usable daemons there: each of them may send requests away as well.
+    /// Number of usable daemons there; each of them may forward requests to other data centres.
     unsigned daemons = 1;
-    /// Position in the table of requests sent there by this daemon.
+    /// Index of this view in OwnDispatches::remotes.
     std::uint32_t slot = 0;
 };
 
-/// Where one service may run.
+/// The upstreams and data centres that may serve one service.
 struct ServiceRoutes
 {
     std::vector<ServiceCandidate> local;
     std::vector<RemoteView> remote;
 };
 
-/// Published as a whole; never changed afterwards.
+/// Everything that a routing decision depends on. Published as a whole and never changed afterwards.
 struct RoutingSnapshot
 {
     std::shared_ptr<const CompiledSettings> settings = std::make_shared<CompiledSettings>();
     std::vector<UpstreamView> upstreams;
     std::unordered_map<std::string, ServiceRoutes> routes;
-    /// Live daemons of the own data centre, this one included.
+    /// Number of usable daemons in the own data centre, including this one.
     unsigned localDaemons = 1;
 
     const ServiceRoutes &routesOf(const std::string &service) const;
--- a/src/portpaddle/routing/snapshot_builder.h
+++ b/src/portpaddle/routing/snapshot_builder.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Builds the picture for decisions out of the blackboard's sections.
+/// Builds routing snapshots from the sections of the blackboard.
 #pragma once
 
 #include "portpaddle/routing/blackboard.h"
@@ -13,7 +13,7 @@
 
 class Clock;
 
-/// Requests sent to other data centres that their last summary cannot know of yet, by data centre and service.
+/// Counts the requests sent to other data centres that their last summary does not include yet, by data centre and service.
 class RemoteDispatches
 {
 public:
@@ -24,7 +24,7 @@
     std::unordered_map<std::string, std::shared_ptr<DispatchCounter>> counters_;
 };
 
-/// Rebuilds when something changed; safe to call from every controller.
+/// Builds and publishes a new snapshot after a change. Thread-safe.
 class SnapshotBuilder
 {
 public:
@@ -41,7 +41,7 @@
     std::mutex mutex_;
 };
 
-/// What the own data centre offers for each service, to be told to others.
+/// Summarises the own data centre's capacity and load for each service, for other data centres.
 std::vector<SummaryEntry> summarise(const RoutingSnapshot &snapshot, Millis now);
 
 } // namespace Portpaddle
--- a/src/portpaddle/routing/upstream_table.cpp
+++ b/src/portpaddle/routing/upstream_table.cpp
@@ -12,27 +12,29 @@
 namespace {
 
 constexpr unsigned failuresToEject = 3;
-constexpr Millis firstEjection{ 1'000 };
-constexpr Millis longestEjection{ 30'000 };
-/// A returning upstream gets its whole share after this time.
-constexpr Millis slowStart{ 10'000 };
-constexpr double firstShare = 0.1;
-/// After this silence a report with a lower sequence is believed: the upstream or its observer was restarted.
-constexpr Millis sequenceMemory{ 10'000 };
+constexpr Millis minEjectionTime{ 1'000 };
+constexpr Millis maxEjectionTime{ 30'000 };
+/// After an ejection or an outage, the share of the slots that may be used grows linearly to all of them over this time.
+constexpr Millis slowStartTime{ 10'000 };
+/// Share of the slots that may be used at the beginning of the slow start.
+constexpr double minAdmittedShare = 0.1;
+/// After this time without a report, one with a lower sequence number is accepted as well, because the upstream or its observer
+/// may have been restarted.
+constexpr Millis sequenceResetTime{ 10'000 };
 
 double admittedShare(const UpstreamState &state, Millis now)
 {
-    if (state.readmittedAt == Millis{ 0 } || now >= state.readmittedAt + slowStart) {
+    if (state.readmittedAt == Millis{ 0 } || now >= state.readmittedAt + slowStartTime) {
         return 1;
     }
     const double elapsed = static_cast<double>((now - state.readmittedAt).count());
-    return std::clamp(elapsed / static_cast<double>(slowStart.count()), firstShare, 1.0);
+    return std::clamp(elapsed / static_cast<double>(slowStartTime.count()), minAdmittedShare, 1.0);
 }
 
-LeavingSignal leavingSignal(const UpstreamState &state, LeavingSignal bySettings)
+LeavingSignal leavingSignal(const UpstreamState &state, LeavingSignal settingsSignal)
 {
-    if (bySettings != LeavingSignal::None) {
-        return bySettings;
+    if (settingsSignal != LeavingSignal::None) {
+        return settingsSignal;
     }
     if (state.leavingByReport) {
         return LeavingSignal::OwnReport;
@@ -75,8 +77,8 @@
 {
     const std::lock_guard lock(mutex_);
     UpstreamState &state = states_[report.upstream];
-    const bool remembered = report.observedAt < state.observedAt + sequenceMemory;
-    if (remembered && report.sequence <= state.sequence) {
+    const bool sequenceApplies = report.observedAt < state.observedAt + sequenceResetTime;
+    if (sequenceApplies && report.sequence <= state.sequence) {
         return false;
     }
     state.sequence = report.sequence;
@@ -102,7 +104,7 @@
     }
 }
 
-void UpstreamTable::attemptSucceeded(const std::string &upstream)
+void UpstreamTable::recordSuccess(const std::string &upstream)
 {
     const std::lock_guard lock(mutex_);
     UpstreamState &state = states_[upstream];
@@ -110,18 +112,18 @@
     state.ejections = 0;
 }
 
-void UpstreamTable::attemptFailed(const std::string &upstream, Millis now)
+void UpstreamTable::recordFailure(const std::string &upstream, Millis now)
 {
     const std::lock_guard lock(mutex_);
     UpstreamState &state = states_[upstream];
     if (++state.consecutiveFailures < failuresToEject || now < state.ejectedUntil) {
         return;
     }
-    const Millis ejection = std::min(longestEjection, firstEjection * (1 << std::min(state.ejections, 5U)));
+    const Millis ejection = std::min(maxEjectionTime, minEjectionTime * (1 << std::min(state.ejections, 5U)));
     ++state.ejections;
     state.ejectedUntil = now + ejection;
     state.readmittedAt = state.ejectedUntil;
-    // One more failure after the return ejects again: the upstream has to prove itself with its first request.
+    // The first failure after the readmission ejects the upstream again, unless a request has succeeded before.
     state.consecutiveFailures = failuresToEject - 1;
     logEvent(LogEvent::UpstreamEjected, { { "upstream", upstream }, { "for_ms", std::to_string(ejection.count()) } });
 }
--- a/src/portpaddle/routing/upstream_table.h
+++ b/src/portpaddle/routing/upstream_table.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What this daemon knows of the upstreams of its data centre: load, failures and its own requests to them.
+/// State of the upstreams in this daemon's data centre: load, failures and the requests that this daemon sent to them.
 #pragma once
 
 #include "portpaddle/routing/routing_snapshot.h"
@@ -16,13 +16,13 @@
 
 namespace Portpaddle {
 
-/// Counts the requests sent to one target that its last report cannot know of yet.
+/// Counts the running requests to one target that were sent after its last report. Thread-safe.
 class DispatchCounter
 {
 public:
     void started(Millis at);
     void ended(Millis startedAt);
-    /// A report that was true at @p observedAt arrived: what was sent before is in it.
+    /// Removes the requests sent before @p observedAt, because a report observed at that time includes them.
     void reported(Millis observedAt);
     std::uint32_t count() const;
 
@@ -32,7 +32,7 @@
     std::atomic<std::uint32_t> count_{ 0 };
 };
 
-/// A report on one upstream.
+/// A load report of one upstream.
 struct UpstreamReport
 {
     std::string upstream;
@@ -43,7 +43,7 @@
     bool reachable = true;
 };
 
-/// What the book holds of one upstream.
+/// The entry of one upstream in the table.
 struct UpstreamState
 {
     std::uint64_t sequence = 0;
@@ -59,20 +59,20 @@
     std::shared_ptr<DispatchCounter> dispatches = std::make_shared<DispatchCounter>();
 };
 
-/// Thread-safe; the request path touches it only at the start and the end of an attempt.
+/// Tracks the state of upstreams. Thread-safe; the request path uses the table only at the start and the end of an attempt.
 class UpstreamTable
 {
 public:
-    /// False when the report is older than what is held.
+    /// Stores @p report. Returns false if the table already holds a newer one.
     bool takeReport(const UpstreamReport &report);
     void markLeavingByVmList(const std::vector<std::string> &upstreams);
-    void attemptSucceeded(const std::string &upstream);
-    void attemptFailed(const std::string &upstream, Millis now);
+    void recordSuccess(const std::string &upstream);
+    void recordFailure(const std::string &upstream, Millis now);
     std::shared_ptr<DispatchCounter> dispatches(const std::string &upstream);
-    /// Fills the state of each view in @p views at @p now.
+    /// Fills in the state that each view in @p views has at @p now.
     void describe(std::vector<UpstreamView> &views, Millis now) const;
     std::vector<UpstreamReport> reports() const;
-    /// Forgets upstreams that are not in @p known.
+    /// Removes the upstreams that are not in @p known.
     void keepOnly(const std::vector<std::string> &known);
 
 private:
