--- a/src/portpaddle/dispatch/answer_channel.cpp
+++ b/src/portpaddle/dispatch/answer_channel.cpp
@@ -14,14 +14,14 @@
     const std::lock_guard lock(mutex_);
     head_ = head;
     changed_.notify_all();
-    return !gone_;
+    return !receiverGone_;
 }
 
 bool AnswerChannel::data(std::string_view bytes)
 {
     std::unique_lock lock(mutex_);
-    changed_.wait(lock, [&] { return gone_ || buffer_.size() < capacity_; });
-    if (gone_) {
+    changed_.wait(lock, [&] { return receiverGone_ || buffer_.size() < capacity_; });
+    if (receiverGone_) {
         return false;
     }
     buffer_.append(bytes);
@@ -32,15 +32,15 @@
 bool AnswerChannel::receiverGone() const
 {
     const std::lock_guard lock(mutex_);
-    return gone_;
+    return receiverGone_;
 }
 
 void AnswerChannel::onReceiverGone(std::function<void()> hook)
 {
     const std::lock_guard lock(mutex_);
-    goneHook_ = std::move(hook);
-    if (gone_ && goneHook_) {
-        goneHook_();
+    receiverGoneHook_ = std::move(hook);
+    if (receiverGone_ && receiverGoneHook_) {
+        receiverGoneHook_();
     }
 }
 
@@ -59,7 +59,7 @@
         return *head_;
     }
     if (isOk(*outcome_)) {
-        return Error{ ErrorCode::Internal, "the answer ended without a head", RunState::MayHaveRun, std::nullopt };
+        return Error{ ErrorCode::Internal, "the answer ended before its status and headers", RunState::MayHaveRun, std::nullopt };
     }
     return errorOf(*outcome_);
 }
@@ -89,13 +89,13 @@
 void AnswerChannel::abandon()
 {
     const std::lock_guard lock(mutex_);
-    if (gone_) {
+    if (receiverGone_) {
         return;
     }
-    gone_ = true;
+    receiverGone_ = true;
     changed_.notify_all();
-    if (goneHook_) {
-        goneHook_();
+    if (receiverGoneHook_) {
+        receiverGoneHook_();
     }
 }
 
--- a/src/portpaddle/dispatch/answer_channel.h
+++ b/src/portpaddle/dispatch/answer_channel.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A bounded channel that carries one answer from the thread that produces it to the thread that serves the caller.
+/// A bounded channel that transfers one answer from the thread that produces it to the thread that serves the caller.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -14,10 +14,10 @@
 
 namespace Portpaddle {
 
-/// What a read from the channel brought.
+/// The result of a read from the channel.
 enum class ReadState { Data, Timeout, Complete, Failed };
 
-/// One producer, one consumer. A full channel blocks its producer and nobody else.
+/// Has one producer and one consumer. A full channel blocks only its producer.
 class AnswerChannel : public AnswerSink
 {
 public:
@@ -27,16 +27,16 @@
     bool data(std::string_view bytes) override;
     bool receiverGone() const override;
     void onReceiverGone(std::function<void()> hook) override;
-    /// Ends the answer: whole, or with an error.
+    /// Ends the answer, as complete or with an error.
     void finish(const Status &outcome);
 
-    /// Waits for the head; an error when the answer failed before it had one.
+    /// Waits for status and headers. Returns an error if the answer ended before they arrived.
     Result<AnswerHead> awaitHead();
-    /// Takes what has arrived, waiting up to @p timeout for something.
+    /// Replaces @p into by the data that has arrived, after waiting up to @p timeout for any.
     ReadState read(std::string &into, Millis timeout);
-    /// The error after ReadState::Failed.
+    /// Returns the error after ReadState::Failed.
     Error failure() const;
-    /// The receiver goes away; the producer learns it at its next write, its hook is called now.
+    /// Marks the receiver as gone: calls the producer's hook at once, and makes its next write fail.
     void abandon();
 
 private:
@@ -46,8 +46,8 @@
     std::optional<AnswerHead> head_;
     std::string buffer_;
     std::optional<Status> outcome_;
-    std::function<void()> goneHook_;
-    bool gone_ = false;
+    std::function<void()> receiverGoneHook_;
+    bool receiverGone_ = false;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/dispatch/dispatcher.cpp
+++ b/src/portpaddle/dispatch/dispatcher.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-/// Waiting requests look again after this time even if nobody woke them: reports may have changed.
-constexpr Millis longestSleep{ 50 };
+/// A waiting request is decided again after this time even if it was not woken, because reports may have changed.
+constexpr Millis maxWaitInterval{ 50 };
 
-/// Passes an answer on and remembers whether any of it left; counts tokens of streams.
+/// Forwards an answer to the receiver, records whether any of it was sent, and counts the tokens of streams.
 class ObservedSink : public AnswerSink
 {
 public:
@@ -44,12 +44,12 @@
 
     bool data(std::string_view bytes) override
     {
-        if (!sawData_) {
-            sawData_ = true;
+        if (!receivedData_) {
+            receivedData_ = true;
             onFirstByte_();
         }
-        late_ = clock_.monotonic() >= deadline_;
-        if (late_) {
+        pastDeadline_ = clock_.monotonic() >= deadline_;
+        if (pastDeadline_) {
             return false;
         }
         return passThrough_ ? receiver_.data(bytes) : stream_.data(bytes);
@@ -75,16 +75,16 @@
         return started_;
     }
 
-    /// A stream is whole only with its closing event; other answers are as whole as their transport says.
-    bool whole() const
+    /// Whether the answer is complete: a stream only with its closing event, any other answer as its transport reports it.
+    bool isComplete() const
     {
         return passThrough_ || stream_.finished();
     }
 
-    /// Whether the deadline cut the answer.
-    bool late() const
+    /// Whether the answer was cut off because its deadline passed.
+    bool isPastDeadline() const
     {
-        return late_;
+        return pastDeadline_;
     }
 
     unsigned tokens() const
@@ -101,20 +101,23 @@
     const Clock &clock_;
     const Millis deadline_;
     std::function<void()> onFirstByte_;
-    bool late_ = false;
+    bool pastDeadline_ = false;
     bool passThrough_ = false;
     bool started_ = false;
-    bool sawData_ = false;
+    bool receivedData_ = false;
 };
 
 } // namespace
 
-/// The way of one call.
-class Dispatcher::Run
+/// The execution of one call, from the claim to its outcome.
+class Dispatcher::Execution
 {
 public:
-    Run(Dispatcher &owner, Call call, AnswerSink &sink)
-        : owner_(owner), parts_(owner.parts_), call_(std::move(call)), sink_(sink, call_, parts_.clock, [this] { firstByte(); })
+    Execution(Dispatcher &dispatcher, Call call, AnswerSink &sink)
+        : dispatcher_(dispatcher)
+        , parts_(dispatcher.parts_)
+        , call_(std::move(call))
+        , sink_(sink, call_, parts_.clock, [this] { firstByte(); })
     {
         trace_.requestId = call_.facts.requestId;
         trace_.organisation = call_.facts.organisation;
@@ -127,15 +130,15 @@
     {
         Status status = claim();
         if (isOk(status)) {
-            status = loop();
-            settleClaim(status);
+            status = runAttempts();
+            resolveClaim(status);
         }
-        finish(status);
+        recordOutcome(status);
         return status;
     }
 
 private:
-    /// The policy of this moment, kept alive together with the settings it is part of.
+    /// Returns the current policy; the pointer keeps the settings alive that the policy is part of.
     std::shared_ptr<const RequestPolicy> policyNow() const
     {
         std::shared_ptr<const CompiledSettings> settings = parts_.board.settings.read();
@@ -160,7 +163,7 @@
         return success();
     }
 
-    void settleClaim(const Status &status)
+    void resolveClaim(const Status &status)
     {
         if (!claim_) {
             return;
@@ -172,7 +175,7 @@
         }
     }
 
-    Status loop()
+    Status runAttempts()
     {
         while (true) {
             const Millis now = parts_.clock.monotonic();
@@ -183,22 +186,22 @@
                 return failure(ErrorCode::DeadlineExceeded, "the deadline passed");
             }
             if (claim_ && now >= claim_->sendBefore) {
-                return failure(ErrorCode::ClaimUnavailable, "the claim is too old to send under");
+                return failure(ErrorCode::ClaimUnavailable, "the claim expired before the call could be sent");
             }
             Decision decision = decideNow(now);
             const Verdict verdict = decision.verdict;
             if (verdict == Verdict::Wait) {
                 if (!waitForCapacity(now)) {
-                    return failure(ErrorCode::Overloaded, "too many requests wait already", Millis{ 1000 });
+                    return failure(ErrorCode::Overloaded, "the wait queue is full", Millis{ 1000 });
                 }
                 continue;
             }
             if (verdict == Verdict::Refuse) {
                 return refuse(std::move(decision));
             }
-            const std::optional<Status> ended = attempt(std::move(decision));
-            if (ended) {
-                return *ended;
+            const std::optional<Status> finalStatus = attempt(std::move(decision));
+            if (finalStatus) {
+                return *finalStatus;
             }
         }
     }
@@ -224,43 +227,43 @@
 
     bool waitForCapacity(Millis now)
     {
-        const Millis left = std::min(longestSleep, call_.facts.deadline - now);
-        const bool taken = owner_.queue_.wait(policyNow()->requestClass, call_.facts.arrivedAt, left);
-        waited_ += parts_.clock.monotonic() - now;
-        return taken;
+        const Millis left = std::min(maxWaitInterval, call_.facts.deadline - now);
+        const bool queued = dispatcher_.queue_.wait(policyNow()->requestClass, call_.facts.arrivedAt, left);
+        queueTime_ += parts_.clock.monotonic() - now;
+        return queued;
     }
 
     Status refuse(Decision decision)
     {
         const ErrorCode code = decision.refusal;
         const std::optional<Millis> retryAfter = decision.retryAfter;
-        record(std::move(decision), "refused");
+        addTraceStep(std::move(decision), "refused");
         if (lastError_ && code == ErrorCode::NoUpstream) {
             return failure(lastError_->code, lastError_->message, lastError_->retryAfter);
         }
-        return failure(code, "no place may or can run this request now", retryAfter);
+        return failure(code, "no permitted upstream or data centre can run this request now", retryAfter);
     }
 
     std::optional<Status> attempt(Decision decision)
     {
         if (attempts_ > 0) {
-            if (!owner_.retries_.spend()) {
-                return failure(ErrorCode::UpstreamFailed, "the retry budget is spent", Millis{ 1000 });
+            if (!dispatcher_.retries_.takeRetry()) {
+                return failure(ErrorCode::UpstreamFailed, "the retry budget is exhausted", Millis{ 1000 });
             }
-            parts_.metrics.count(resuming() ? Counter::Resumes : Counter::Retries);
-            logEvent(resuming() ? LogEvent::RequestResumed : LogEvent::RequestRetried,
+            parts_.metrics.count(isResuming() ? Counter::Resumes : Counter::Retries);
+            logEvent(isResuming() ? LogEvent::RequestResumed : LogEvent::RequestRetried,
                      { { "request", call_.facts.requestId }, { "attempt", std::to_string(attempts_ + 1) } });
         }
         ++attempts_;
         sink_.restart();
         call_.resumeFrom = sink_.tokens();
         AttemptResult result = decision.verdict == Verdict::Serve ? serve(decision) : forward(decision);
-        if (result.end == AttemptEnd::Complete && !sink_.whole()) {
+        if (result.end == AttemptEnd::Complete && !sink_.isComplete()) {
             result = AttemptResult{ AttemptEnd::Broken,
-                                    Error{ ErrorCode::UpstreamFailed, "the stream ended early", RunState::MayHaveRun,
-                                           std::nullopt } };
+                                    Error{ ErrorCode::UpstreamFailed, "the stream ended before its closing event",
+                                           RunState::MayHaveRun, std::nullopt } };
         }
-        record(std::move(decision), outcomeText(result));
+        addTraceStep(std::move(decision), outcomeText(result));
         return afterAttempt(result);
     }
 
@@ -273,8 +276,8 @@
         AttemptResult result = parts_.upstreams.attempt(view.address, call_, call_.facts.deadline - startedAt, sink_);
         counter->ended(startedAt);
         const Millis endedAt = parts_.clock.monotonic();
-        owner_.queue_.wakeOne(endedAt);
-        if (result.end == AttemptEnd::Complete && sink_.whole()) {
+        dispatcher_.queue_.wakeOne(endedAt);
+        if (result.end == AttemptEnd::Complete && sink_.isComplete()) {
             parts_.board.upstreams.recordSuccess(view.id);
         } else if (result.end != AttemptEnd::ReceiverGone && result.error.code != ErrorCode::Overloaded) {
             parts_.board.upstreams.recordFailure(view.id, endedAt);
@@ -291,10 +294,11 @@
         counter->started(startedAt);
         parts_.metrics.count(Counter::SentAway);
         const RequestPolicy &policy = decision.snapshot->settings->policy(call_.facts.organisation, call_.facts.service);
-        Call passed = call_;
-        // A place that was tried is a place passed through: the request must not come back to either.
-        passed.facts.visited.push_back(decision.snapshot->settings->place().dataCentre);
-        AttemptResult result = parts_.peers.forward(view.dataCentre, passed, policy, call_.facts.deadline - startedAt, sink_);
+        Call forwardedCall = call_;
+        // Data centres that were tried count as visited like those that the request passed through: it must not return to either.
+        forwardedCall.facts.visited.push_back(decision.snapshot->settings->place().dataCentre);
+        AttemptResult result
+            = parts_.peers.forward(view.dataCentre, forwardedCall, policy, call_.facts.deadline - startedAt, sink_);
         counter->ended(startedAt);
         call_.facts.visited.push_back(view.dataCentre);
         return result;
@@ -308,8 +312,8 @@
             return success();
         case AttemptEnd::ReceiverGone:
             run_ = RunState::MayHaveRun;
-            return sink_.late() ? failure(ErrorCode::DeadlineExceeded, "the deadline passed")
-                                : failure(ErrorCode::Cancelled, "the caller went away");
+            return sink_.isPastDeadline() ? failure(ErrorCode::DeadlineExceeded, "the deadline passed")
+                                          : failure(ErrorCode::Cancelled, "the caller went away");
         case AttemptEnd::NotRun:
             break;
         case AttemptEnd::Broken:
@@ -325,7 +329,8 @@
         return std::nullopt;
     }
 
-    /// After a break a stream goes on at its next token; anything else only while nothing of it reached the caller.
+    /// Whether the call may be sent again after a broken attempt. A stream is resumed at its next token; any other call is only
+    /// repeated while no part of its answer has reached the caller.
     bool mayRetry() const
     {
         if (call_.atMostOnce) {
@@ -334,7 +339,7 @@
         return call_.streamed ? call_.retryable : call_.retryable && !sink_.started();
     }
 
-    bool resuming() const
+    bool isResuming() const
     {
         return sink_.started();
     }
@@ -359,7 +364,7 @@
         return {};
     }
 
-    void record(Decision decision, std::string outcome)
+    void addTraceStep(Decision decision, std::string outcome)
     {
         trace_.steps.push_back(TraceStep{ parts_.clock.wall().count(), std::move(decision), std::move(outcome) });
     }
@@ -369,13 +374,13 @@
         parts_.metrics.observe(Timer::FirstByte, static_cast<double>((parts_.clock.monotonic() - call_.facts.arrivedAt).count()));
     }
 
-    void finish(const Status &status)
+    void recordOutcome(const Status &status)
     {
         parts_.metrics.count(Counter::TokensStreamed, sink_.tokens());
         parts_.metrics.observe(Timer::WholeRequest,
                                static_cast<double>((parts_.clock.monotonic() - call_.facts.arrivedAt).count()));
-        if (waited_ > Millis{ 0 }) {
-            parts_.metrics.observe(Timer::QueueWait, static_cast<double>(waited_.count()));
+        if (queueTime_ > Millis{ 0 }) {
+            parts_.metrics.observe(Timer::QueueWait, static_cast<double>(queueTime_.count()));
         }
         trace_.outcome
             = isOk(status) ? "complete" : fmt::format("{}, {}", nameOf(errorOf(status).code), nameOf(errorOf(status).run));
@@ -388,10 +393,10 @@
                        { "code", std::string(nameOf(error.code)) },
                        { "message", error.message } });
         }
-        parts_.traces.keep(std::move(trace_));
+        parts_.traces.add(std::move(trace_));
     }
 
-    Dispatcher &owner_;
+    Dispatcher &dispatcher_;
     DispatcherParts &parts_;
     Call call_;
     ObservedSink sink_;
@@ -400,7 +405,7 @@
     std::optional<Error> lastError_;
     RunState run_ = RunState::NotRun;
     unsigned attempts_ = 0;
-    Millis waited_{ 0 };
+    Millis queueTime_{ 0 };
 };
 
 Dispatcher::Dispatcher(DispatcherParts parts) : parts_(parts)
@@ -410,8 +415,8 @@
 Status Dispatcher::run(Call call, AnswerSink &sink)
 {
     const std::shared_ptr<const CompiledSettings> settings = parts_.board.settings.read();
-    retries_.earn(settings->policy(call.facts.organisation, call.facts.service).retryBudgetPercent);
-    return Run(*this, std::move(call), sink).execute();
+    retries_.addCredit(settings->policy(call.facts.organisation, call.facts.service).retryBudgetPercent);
+    return Execution(*this, std::move(call), sink).execute();
 }
 
 void Dispatcher::wakeWaiting()
--- a/src/portpaddle/dispatch/dispatcher.h
+++ b/src/portpaddle/dispatch/dispatcher.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Takes a call through decision, attempts, retries and resumption to its answer.
+/// Runs calls: routing decisions, attempts, retries and the resumption of streams.
 #pragma once
 
 #include "portpaddle/dispatch/retry_budget.h"
@@ -21,7 +21,7 @@
 class Metrics;
 class RandomSource;
 
-/// What a dispatcher works with; all must outlive it.
+/// The objects that a dispatcher uses; all of them must outlive it.
 struct DispatcherParts
 {
     Blackboard &board;
@@ -35,20 +35,20 @@
     TraceRing &traces;
 };
 
-/// Shared by all requests of a daemon; thread-safe.
+/// Runs the calls of a daemon. Thread-safe; one dispatcher serves all requests.
 class Dispatcher
 {
 public:
     explicit Dispatcher(DispatcherParts parts);
 
-    /// Runs @p call until its answer is whole in @p sink, or says how it failed.
+    /// Runs @p call until its answer is complete in @p sink. Returns an error if the call failed.
     Status run(Call call, AnswerSink &sink);
-    /// Something changed that may let waiting requests go on.
+    /// Wakes all waiting requests, after a change that may allow them to continue.
     void wakeWaiting();
     std::size_t waiting() const;
 
 private:
-    class Run;
+    class Execution;
 
     DispatcherParts parts_;
     RetryBudget retries_;
--- a/src/portpaddle/dispatch/retry_budget.cpp
+++ b/src/portpaddle/dispatch/retry_budget.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-/// Lets a quiet daemon retry at all, and bounds what a quiet hour may save up.
-constexpr double largestBudget = 50;
+/// Enough for a daemon with few requests to retry at all, and a limit on the retries that accumulate in a quiet hour.
+constexpr double maxBudget = 50;
 
 } // namespace
 
-void RetryBudget::earn(double percent)
+void RetryBudget::addCredit(double percent)
 {
     const std::lock_guard lock(mutex_);
-    available_ = std::min(largestBudget, available_ + percent / 100);
+    available_ = std::min(maxBudget, available_ + percent / 100);
 }
 
-bool RetryBudget::spend()
+bool RetryBudget::takeRetry()
 {
     const std::lock_guard lock(mutex_);
     if (available_ < 1) {
--- a/src/portpaddle/dispatch/retry_budget.h
+++ b/src/portpaddle/dispatch/retry_budget.h
@@ -1,20 +1,21 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Bounds retries to a share of the requests so that failures do not multiply load.
+/// Limits retries to a share of the requests, so that failures do not multiply the load.
 #pragma once
 
 #include <mutex>
 
 namespace Portpaddle {
 
-/// Each request earns a part of a retry; each retry spends a whole one.
+/// Each request adds a fraction of a retry to the budget; each retry takes one from it. Thread-safe.
 class RetryBudget
 {
 public:
-    void earn(double percent);
-    /// False when the budget is spent: the request has to fail instead.
-    bool spend();
+    /// Adds @p percent of a retry.
+    void addCredit(double percent);
+    /// Takes one retry. Returns false if less than one is left; the request then has to fail.
+    bool takeRetry();
 
 private:
     std::mutex mutex_;
--- a/src/portpaddle/dispatch/token_stream.cpp
+++ b/src/portpaddle/dispatch/token_stream.cpp
@@ -9,19 +9,19 @@
 
 constexpr std::string_view eventEnd = "\n\n";
 constexpr std::string_view closingEvent = "data: [DONE]";
-/// Engines put one token's text into the content of each event; the opening event's content is empty.
-constexpr std::string_view contentMember = "\"content\"";
-/// A single event never grows beyond this; an upstream that sends more is broken.
-constexpr std::size_t largestEvent = 256 * 1024;
+/// Engines put the text of one token into the content of each event; the content of the first event is empty.
+constexpr std::string_view contentKey = "\"content\"";
+/// Maximum size of buffered data, in bytes. No valid event is larger, so an upstream that exceeds the limit is faulty.
+constexpr std::size_t maxEventBytes = 256 * 1024;
 
 bool carriesToken(std::string_view event)
 {
-    constexpr std::string_view blank = " \t:";
-    const std::size_t member = event.find(contentMember);
+    constexpr std::string_view separators = " \t:";
+    const std::size_t member = event.find(contentKey);
     if (member == std::string_view::npos) {
         return false;
     }
-    const std::size_t value = event.find_first_not_of(blank, member + contentMember.size());
+    const std::size_t value = event.find_first_not_of(separators, member + contentKey.size());
     return value != std::string_view::npos && event[value] == '"' && event.substr(value, 2) != "\"\"";
 }
 
@@ -43,13 +43,13 @@
 bool TokenStream::data(std::string_view bytes)
 {
     partial_.append(bytes);
-    if (partial_.size() > largestEvent) {
+    if (partial_.size() > maxEventBytes) {
         return false;
     }
     std::size_t end = partial_.find(eventEnd);
     while (end != std::string::npos) {
         const std::size_t length = end + eventEnd.size();
-        if (!passEvent(std::string_view(partial_).substr(0, length))) {
+        if (!forwardEvent(std::string_view(partial_).substr(0, length))) {
             return false;
         }
         partial_.erase(0, length);
@@ -78,7 +78,7 @@
     return finished_;
 }
 
-bool TokenStream::passEvent(std::string_view event)
+bool TokenStream::forwardEvent(std::string_view event)
 {
     if (event.substr(0, closingEvent.size()) == closingEvent) {
         finished_ = true;
--- a/src/portpaddle/dispatch/token_stream.h
+++ b/src/portpaddle/dispatch/token_stream.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Splits a stream of server-sent events so that only whole events go on and tokens are counted.
+/// Splits a stream into server-sent events, forwards only complete events and counts tokens.
 #pragma once
 
 #include "portpaddle/interfaces/answer_sink.h"
@@ -11,28 +11,28 @@
 
 namespace Portpaddle {
 
-/// Passes whole events to another sink; what it counted survives the break of a stream.
+/// Forwards complete events to another sink. The token count is kept when a stream breaks off and is resumed.
 class TokenStream
 {
 public:
     explicit TokenStream(AnswerSink &receiver, unsigned tokensSoFar = 0);
 
-    /// The head goes on once only, also when the stream is resumed elsewhere.
+    /// Forwards the head only once, also when the stream is resumed from another upstream.
     bool head(const AnswerHead &head);
-    /// Takes bytes of the present attempt.
+    /// Accepts bytes of the current attempt. Returns false if the receiver is gone or an event exceeds the maximum size.
     bool data(std::string_view bytes);
-    /// Forgets an unfinished event before another attempt goes on.
+    /// Discards an incomplete event before the next attempt.
     void restart();
 
-    /// Tokens passed on, those before this daemon's part included.
+    /// Returns the number of tokens forwarded, including those that the caller received before this stream.
     unsigned tokens() const;
-    /// Whether anything reached the receiver.
+    /// Whether the head was forwarded.
     bool started() const;
-    /// Whether the closing event was passed on.
+    /// Whether the closing event was forwarded.
     bool finished() const;
 
 private:
-    bool passEvent(std::string_view event);
+    bool forwardEvent(std::string_view event);
 
     AnswerSink &receiver_;
     std::string partial_;
--- a/src/portpaddle/dispatch/trace_ring.cpp
+++ b/src/portpaddle/dispatch/trace_ring.cpp
@@ -73,7 +73,7 @@
 {
 }
 
-void TraceRing::keep(RequestTrace trace)
+void TraceRing::add(RequestTrace trace)
 {
     const std::lock_guard lock(mutex_);
     const std::string id = trace.requestId;
--- a/src/portpaddle/dispatch/trace_ring.h
+++ b/src/portpaddle/dispatch/trace_ring.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The decisions of recent requests, kept to be explained.
+/// Traces of the decisions for recent requests.
 #pragma once
 
 #include "portpaddle/routing/decision.h"
@@ -18,7 +18,7 @@
 
 namespace Portpaddle {
 
-/// One decision and what came of it.
+/// One decision and its outcome.
 struct TraceStep
 {
     std::int64_t wallMs = 0;
@@ -27,7 +27,7 @@
     std::string outcome;
 };
 
-/// Everything decided for one request on one daemon. Never its content.
+/// All decisions for one request on one daemon. The trace never includes the content of the request.
 struct RequestTrace
 {
     std::string requestId;
@@ -39,12 +39,13 @@
     std::string outcome;
 };
 
-/// Keeps the traces of the last requests; the oldest is dropped for the newest.
+/// Keeps the traces of the most recent requests and drops the oldest ones beyond its capacity. Thread-safe.
 class TraceRing
 {
 public:
     explicit TraceRing(std::size_t capacity = 2048);
-    void keep(RequestTrace trace);
+    void add(RequestTrace trace);
+    /// Returns null if no trace of the request is kept.
     std::shared_ptr<const RequestTrace> find(const std::string &requestId) const;
 
 private:
@@ -54,7 +55,7 @@
     std::unordered_map<std::string, std::shared_ptr<const RequestTrace>> traces_;
 };
 
-/// The trace as operators read it: each candidate, why it lost, and the setting that made it so.
+/// Returns the trace in the form that operators read: every candidate, why it was not chosen, and the setting that caused it.
 nlohmann::json explain(const RequestTrace &trace);
 
 } // namespace Portpaddle
--- a/src/portpaddle/dispatch/wait_queue.cpp
+++ b/src/portpaddle/dispatch/wait_queue.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-bool WaitQueue::wait(RequestClass requestClass, Millis arrivedAt, Millis longest)
+bool WaitQueue::wait(RequestClass requestClass, Millis arrivedAt, Millis timeout)
 {
     std::unique_lock lock(mutex_);
     if (waiters_.size() >= capacity_) {
@@ -20,7 +20,7 @@
     const auto self = waiters_.emplace(waiters_.end());
     self->requestClass = requestClass;
     self->arrivedAt = arrivedAt;
-    self->wake.wait_for(lock, longest, [&] { return self->woken; });
+    self->wake.wait_for(lock, timeout, [&] { return self->woken; });
     waiters_.erase(self);
     return true;
 }
@@ -30,7 +30,7 @@
     const std::lock_guard lock(mutex_);
     Waiter *best = nullptr;
     for (Waiter &waiter : waiters_) {
-        if (!waiter.woken && (best == nullptr || moreUrgent(waiter, *best, now))) {
+        if (!waiter.woken && (best == nullptr || isMoreUrgent(waiter, *best, now))) {
             best = &waiter;
         }
     }
@@ -55,13 +55,13 @@
     return waiters_.size();
 }
 
-bool WaitQueue::moreUrgent(const Waiter &left, const Waiter &right, Millis now)
+bool WaitQueue::isMoreUrgent(const Waiter &left, const Waiter &right, Millis now)
 {
-    const auto urgent = [&](const Waiter &waiter) {
+    const auto isUrgent = [&](const Waiter &waiter) {
         return waiter.requestClass == RequestClass::Interactive || now - waiter.arrivedAt >= deferrableAging;
     };
-    if (urgent(left) != urgent(right)) {
-        return urgent(left);
+    if (isUrgent(left) != isUrgent(right)) {
+        return isUrgent(left);
     }
     return left.arrivedAt < right.arrivedAt;
 }
--- a/src/portpaddle/dispatch/wait_queue.h
+++ b/src/portpaddle/dispatch/wait_queue.h
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Requests that wait for a free upstream: interactive before deferrable, older before younger, with aging.
+/// Queue of the requests that wait for a free upstream, ordered by request class, then by age. Deferrable requests that have
+/// waited long enough count as interactive.
 #pragma once
 
 #include "portpaddle/settings/compiled.h"
@@ -12,17 +13,17 @@
 
 namespace Portpaddle {
 
-/// Wakes the most urgent waiter when capacity may have become free.
+/// Blocks waiting requests and wakes the most urgent one when capacity may have become free. Thread-safe.
 class WaitQueue
 {
 public:
     explicit WaitQueue(std::size_t capacity = 4096);
 
-    /// Waits until woken or for at most @p longest. False when the queue is full.
-    bool wait(RequestClass requestClass, Millis arrivedAt, Millis longest);
-    /// Capacity became free: wakes the most urgent waiter.
+    /// Waits until woken or for at most @p timeout. Returns false at once if the queue is full.
+    bool wait(RequestClass requestClass, Millis arrivedAt, Millis timeout);
+    /// Wakes the most urgent waiter, after capacity has become free.
     void wakeOne(Millis now);
-    /// Something changed for all, such as the settings.
+    /// Wakes all waiters, after a change that affects all of them, such as one of the settings.
     void wakeAll();
     std::size_t waiting() const;
 
@@ -35,7 +36,7 @@
         std::condition_variable wake;
     };
 
-    static bool moreUrgent(const Waiter &left, const Waiter &right, Millis now);
+    static bool isMoreUrgent(const Waiter &left, const Waiter &right, Millis now);
 
     const std::size_t capacity_;
     mutable std::mutex mutex_;
