--- a/src/portpaddle/fleet/aggregators.cpp
+++ b/src/portpaddle/fleet/aggregators.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-// Sums come ten times a second; a gatherer that sends none for so long is cut off or dead, or does not know that it is one.
-constexpr std::chrono::milliseconds longestWait{ 1'000 };
-// One that is back is heard of by then.
+// Sums arrive ten times a second. An aggregator that sends none for this time has failed, is partitioned, or does not know that
+// it was selected.
+constexpr std::chrono::milliseconds maxSilence{ 1'000 };
+// Long enough for this daemon to hear of an aggregator that has recovered.
 constexpr std::chrono::milliseconds avoidTime{ 5'000 };
 
 } // namespace
@@ -25,22 +26,22 @@
 void Aggregators::setView(std::shared_ptr<const FleetView> view)
 {
     view_ = std::move(view);
-    ranks_.clear();
+    rankings_.clear();
     for (const DaemonRecord &daemon : view_->daemons) {
-        if (ranks_.contains(daemon.region)) {
+        if (rankings_.contains(daemon.region)) {
             continue;
         }
-        Ranks &ranks = ranks_[daemon.region];
+        ShardRankings &rankings = rankings_[daemon.region];
         for (unsigned shard = 0; shard < aggregationShards; ++shard) {
-            ranks.at(shard) = rankForRole(*view_, daemon.region, fmt::format("news {}", shard));
+            rankings.at(shard) = rankForRole(*view_, daemon.region, fmt::format("news {}", shard));
         }
     }
 }
 
 const DaemonRecord *Aggregators::of(const std::string &region, unsigned shard, SteadyTime now) const
 {
-    const auto found = ranks_.find(region);
-    if (found == ranks_.end()) {
+    const auto found = rankings_.find(region);
+    if (found == rankings_.end()) {
         return nullptr;
     }
     for (const DaemonRecord *daemon : found->second.at(shard)) {
@@ -62,20 +63,20 @@
     return found != responses_.end() && now < found->second.avoidedUntil;
 }
 
-void Aggregators::reported(const std::string &aggregator, SteadyTime now)
+void Aggregators::noteReportSent(const std::string &aggregator, SteadyTime now)
 {
     Response &response = responses_[aggregator];
-    // Another daemon was the gatherer in between: nothing was due from this one.
-    const bool begins = now - response.lastReport > longestWait;
+    // After a gap in the reports another daemon was the aggregator in between, so that no sums were expected from this one.
+    const bool isFirstReport = now - response.lastReport > maxSilence;
     response.lastReport = now;
-    if (begins) {
+    if (isFirstReport) {
         response.awaitedSince = now;
-    } else if (now - response.awaitedSince > longestWait) {
+    } else if (now - response.awaitedSince > maxSilence) {
         response.avoidedUntil = now + avoidTime;
     }
 }
 
-void Aggregators::heardSums(const std::string &aggregator, SteadyTime now)
+void Aggregators::noteSumsReceived(const std::string &aggregator, SteadyTime now)
 {
     Response &response = responses_[aggregator];
     response.awaitedSince = now;
@@ -85,8 +86,8 @@
 std::vector<std::string> Aggregators::regions() const
 {
     std::vector<std::string> names;
-    names.reserve(ranks_.size());
-    for (const auto &[name, ranks] : ranks_) {
+    names.reserve(rankings_.size());
+    for (const auto &[name, rankings] : rankings_) {
         names.push_back(name);
     }
     return names;
--- a/src/portpaddle/fleet/aggregators.h
+++ b/src/portpaddle/fleet/aggregators.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Which daemons gather news for their region.
+/// Selection of the daemons that aggregate load reports for their region.
 #pragma once
 
 #include "portpaddle/gateway/fleet_view.h"
@@ -16,36 +16,37 @@
 
 namespace Portpaddle {
 
-/// Names a gatherer for each shard of each region, the best ranked one that is not known to be silent. Belongs to one event loop.
+/// Selects an aggregator for each shard of each region: the highest ranked daemon that is neither silent nor avoided.
+/// Belongs to one event loop.
 class Aggregators
 {
 public:
-    /// Whether a daemon was heard before and is not any more.
+    /// Returns whether a daemon from which messages are expected has stopped sending them.
     using IsSilent = std::function<bool(const std::string &daemon, SteadyTime now)>;
 
     Aggregators(std::string ownId, IsSilent isSilent);
 
     void setView(std::shared_ptr<const FleetView> view);
-    /// Null where the region has no daemon that could.
+    /// Returns the aggregator of @p shard in @p region; null if the region has no daemon that can be one.
     const DaemonRecord *of(const std::string &region, unsigned shard, SteadyTime now) const;
     bool isSelf(const DaemonRecord &daemon) const;
-    /// This daemon reported to @p aggregator, whose sums are awaited from now on.
-    void reported(const std::string &aggregator, SteadyTime now);
-    /// Sums came from @p aggregator.
-    void heardSums(const std::string &aggregator, SteadyTime now);
-    /// All regions of the fleet.
+    /// Records that this daemon sent a report to @p aggregator, from which sums are expected from now on.
+    void noteReportSent(const std::string &aggregator, SteadyTime now);
+    /// Records that sums arrived from @p aggregator.
+    void noteSumsReceived(const std::string &aggregator, SteadyTime now);
+    /// Returns the names of all regions of the fleet.
     std::vector<std::string> regions() const;
 
 private:
-    using Ranks = std::array<std::vector<const DaemonRecord *>, aggregationShards>;
+    using ShardRankings = std::array<std::vector<const DaemonRecord *>, aggregationShards>;
 
-    /// How a gatherer that was reported to answers.
+    /// The responsiveness of an aggregator to which this daemon reports.
     struct Response
     {
         SteadyTime lastReport{};
-        /// Since when its sums are awaited, or when they came last.
+        /// When its sums last arrived, or since when the first ones are expected.
         SteadyTime awaitedSince{};
-        /// It did not answer.
+        /// Until this time no reports are sent to it, because it sent no sums.
         SteadyTime avoidedUntil{};
     };
 
@@ -54,7 +55,7 @@
     std::string ownId_;
     IsSilent isSilent_;
     std::shared_ptr<const FleetView> view_;
-    std::unordered_map<std::string, Ranks> ranks_;
+    std::unordered_map<std::string, ShardRankings> rankings_;
     std::unordered_map<std::string, Response> responses_;
 };
 
--- a/src/portpaddle/fleet/change_feed.cpp
+++ b/src/portpaddle/fleet/change_feed.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-// Some seconds of changes while half of a thousand daemons restart; whoever is behind that lists everything.
+// Covers some seconds of changes while half of a thousand daemons restart. A daemon that is further behind lists all keys.
 constexpr std::size_t maxChanges = 4'096;
 
 } // namespace
 
-ChangeFeed::ChangeFeed(std::function<void()> wake) : wake_(std::move(wake))
+ChangeFeed::ChangeFeed(std::function<void()> onChange) : onChange_(std::move(onChange))
 {
 }
 
@@ -27,7 +27,7 @@
         revision_ = revision;
         confirmedAt_ = confirmedAt;
     }
-    wake_();
+    onChange_();
 }
 
 void ChangeFeed::add(const std::vector<KeyChange> &changes, std::uint64_t revision, Time confirmedAt)
@@ -45,7 +45,7 @@
         confirmedAt_ = std::max(confirmedAt_, confirmedAt);
     }
     if (!changes.empty()) {
-        wake_();
+        onChange_();
     }
 }
 
@@ -61,23 +61,23 @@
         const std::lock_guard lock(mutex_);
         reachable_ = reachable;
     }
-    wake_();
+    onChange_();
 }
 
 FeedUpdate ChangeFeed::since(std::uint64_t revision) const
 {
     const std::lock_guard lock(mutex_);
-    FeedUpdate news;
-    news.revision = revision_;
-    news.confirmedAt = confirmedAt_;
-    news.reachable = reachable_;
-    news.incomplete = revision < completeSince_;
-    if (news.incomplete) {
-        return news;
+    FeedUpdate update;
+    update.revision = revision_;
+    update.confirmedAt = confirmedAt_;
+    update.reachable = reachable_;
+    update.incomplete = revision < completeSince_;
+    if (update.incomplete) {
+        return update;
     }
-    std::copy_if(changes_.begin(), changes_.end(), std::back_inserter(news.changes),
+    std::copy_if(changes_.begin(), changes_.end(), std::back_inserter(update.changes),
                  [revision](const KeyChange &change) { return change.item.revision > revision; });
-    return news;
+    return update;
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/fleet/change_feed.h
+++ b/src/portpaddle/fleet/change_feed.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The newest changes of the store's contents, kept for daemons that follow this one instead of the store.
+/// The most recent changes of the store's contents, kept for daemons that follow this one instead of the store.
 #pragma once
 
 #include "portpaddle/interfaces/watched_store.h"
@@ -15,42 +15,42 @@
 
 namespace Portpaddle {
 
-/// What a daemon knows of the store at one moment.
+/// The state of the store as a daemon knows it, with the changes since an earlier revision.
 struct FeedUpdate
 {
     std::uint64_t revision = 0;
-    /// When an answer of the store last confirmed this, to this daemon or to the one that it follows.
+    /// When an answer of the store last confirmed this state, to this daemon or to the one that it follows.
     SteadyTime confirmedAt{};
     bool reachable = false;
-    /// Changes since the revision asked for are not known any more.
+    /// Whether some changes since the requested revision are no longer kept. The update then holds no changes.
     bool incomplete = false;
     std::vector<KeyChange> changes;
 };
 
-/// Thread-safe.
+/// Keeps a bounded list of changes. Thread-safe.
 class ChangeFeed
 {
 public:
     using Time = SteadyTime;
 
-    /// @p wake is called after each change, on the thread that made it.
-    explicit ChangeFeed(std::function<void()> wake);
+    /// @p onChange is called after every change of the feed, on the thread that made the change.
+    explicit ChangeFeed(std::function<void()> onChange);
 
-    /// Everything was listed anew: changes before @p revision are not known.
+    /// Discards all changes after a new listing; those before @p revision are not known any more.
     void restart(std::uint64_t revision, Time confirmedAt);
     void add(const std::vector<KeyChange> &changes, std::uint64_t revision, Time confirmedAt);
-    /// The store answered that nothing is newer.
+    /// Records that the store confirmed the current state at @p at.
     void confirm(Time at);
     void setReachable(bool reachable);
 
-    /// What changed after @p revision.
+    /// Returns the state with the changes after @p revision.
     FeedUpdate since(std::uint64_t revision) const;
 
 private:
     mutable std::mutex mutex_;
-    std::function<void()> wake_;
+    std::function<void()> onChange_;
     std::deque<KeyChange> changes_;
-    /// All changes after this one are in the list.
+    /// The revision after which the list contains all changes.
     std::uint64_t completeSince_ = 0;
     std::uint64_t revision_ = 0;
     Time confirmedAt_{};
--- a/src/portpaddle/fleet/feed_server.cpp
+++ b/src/portpaddle/fleet/feed_server.cpp
@@ -13,24 +13,24 @@
 
 namespace {
 
-/// The revision that a question about changes names; no value where it names none.
-std::optional<std::uint64_t> revisionOf(const std::string &target)
+/// Returns the revision named in a request for changes; no value if @p target is no valid request of this kind.
+std::optional<std::uint64_t> requestedRevision(const std::string &target)
 {
-    static const std::string question = std::string(changesPath) + "?after=";
+    static const std::string queryPrefix = std::string(changesPath) + "?after=";
     std::uint64_t revision = 0;
     const char *end = target.data() + target.size();
-    if (!target.starts_with(question)) {
+    if (!target.starts_with(queryPrefix)) {
         return std::nullopt;
     }
-    const auto parsed = std::from_chars(target.data() + question.size(), end, revision);
+    const auto parsed = std::from_chars(target.data() + queryPrefix.size(), end, revision);
     return parsed.ec == std::errc() && parsed.ptr == end ? std::optional(revision) : std::nullopt;
 }
 
 } // namespace
 
 FeedServer::FeedServer(Executor executor, std::string daemon, const ChangeFeed &feed,
-                       std::function<std::vector<KeyValue>()> known)
-    : executor_(executor), daemon_(std::move(daemon)), feed_(feed), known_(std::move(known))
+                       std::function<std::vector<KeyValue>()> listItems)
+    : executor_(executor), daemon_(std::move(daemon)), feed_(feed), listItems_(std::move(listItems))
 {
 }
 
@@ -41,7 +41,7 @@
 
 void FeedServer::wake()
 {
-    for (SteadyTimer *timer : waiting_) {
+    for (SteadyTimer *timer : waitingTimers_) {
         timer->cancel();
     }
 }
@@ -51,7 +51,7 @@
     if (target == statePath) {
         co_return answerState();
     }
-    if (const std::optional<std::uint64_t> revision = revisionOf(target)) {
+    if (const std::optional<std::uint64_t> revision = requestedRevision(target)) {
         co_return co_await answerChanges(*revision);
     }
     WholeAnswer answer;
@@ -61,31 +61,31 @@
 
 Task<WholeAnswer> FeedServer::answerChanges(std::uint64_t revision)
 {
-    FeedUpdate news = feed_.since(revision);
-    // Who is asked and has no contact with the store any more says so at once: where several in a row have none, the one that
-    // asks would otherwise spend the time in which a change must be in force on waiting for them.
-    const SteadyTime::duration counts = news.confirmedAt + oldestConfirmation - BootClock::now();
-    const auto wait = std::min<SteadyTime::duration>(longestFeedWait, counts);
-    if (news.reachable && !news.incomplete && news.changes.empty() && wait > SteadyTime::duration::zero()) {
+    FeedUpdate update = feed_.since(revision);
+    // Without recent contact with the store, this daemon answers at once: if several daemons in a row have no contact, a client
+    // that waited for each of them would exceed the time within which a change must take effect.
+    const SteadyTime::duration remainingValidity = update.confirmedAt + maxConfirmationAge - BootClock::now();
+    const auto wait = std::min<SteadyTime::duration>(maxFeedWait, remainingValidity);
+    if (update.reachable && !update.incomplete && update.changes.empty() && wait > SteadyTime::duration::zero()) {
         SteadyTimer timer(executor_);
         timer.expires_after(wait);
-        waiting_.insert(&timer);
+        waitingTimers_.insert(&timer);
         NetError woken;
         co_await timer.async_wait(awaitingInto(woken));
-        waiting_.erase(&timer);
-        news = feed_.since(revision);
+        waitingTimers_.erase(&timer);
+        update = feed_.since(revision);
     }
     WholeAnswer answer;
-    answer.body = encodeChanges(daemon_, news);
+    answer.body = encodeChanges(daemon_, update);
     co_return answer;
 }
 
 WholeAnswer FeedServer::answerState() const
 {
-    // Asked first: the items may be newer than this says, never older.
-    const FeedUpdate news = feed_.since(0);
+    // The feed is read first, so that the items may be newer than the stated revision but never older.
+    const FeedUpdate update = feed_.since(0);
     WholeAnswer answer;
-    answer.body = encodeState(daemon_, known_(), news);
+    answer.body = encodeState(daemon_, listItems_(), update);
     return answer;
 }
 
--- a/src/portpaddle/fleet/feed_server.h
+++ b/src/portpaddle/fleet/feed_server.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Answers other daemons' questions about what the store holds.
+/// Serves the store's contents and changes to other daemons.
 #pragma once
 
 #include "portpaddle/fleet/change_feed.h"
@@ -14,35 +14,36 @@
 
 namespace Portpaddle {
 
-/// Where a daemon answers on its link address: all that it knows, and what changed.
+/// Paths that a daemon serves on its link address: the whole state that it knows, and the changes since a revision.
 inline constexpr const char *statePath = "/portpaddle/state";
 inline constexpr const char *changesPath = "/portpaddle/changes";
-/// The longest that a question about changes waits for one. Whoever asks notices by the next one whether this daemon is well.
-inline constexpr std::chrono::milliseconds longestFeedWait{ 1'000 };
-/// What a daemon knows of the store counts as news while the store has confirmed it within this time: it asks the store every
-/// 1.2 s, and changes must be in force within a few seconds.
-inline constexpr std::chrono::milliseconds oldestConfirmation{ 2'500 };
-
-/// Questions of daemons about this one's knowledge of the store.
+/// Maximum time for which a request for changes waits for one. By the next request the client notices whether this daemon is
+/// healthy.
+inline constexpr std::chrono::milliseconds maxFeedWait{ 1'000 };
+/// The state that a daemon knows is relied on while the store has confirmed it within this time: the daemon asks the store every
+/// 1.2 s, and changes must take effect within a few seconds.
+inline constexpr std::chrono::milliseconds maxConfirmationAge{ 2'500 };
+
+/// Handles the requests by which other daemons read the store's state from this one.
 class PeerRequestHandler
 {
 public:
     virtual ~PeerRequestHandler() = default;
-    /// Whether @p target is one of them.
+    /// Whether @p target is the target of such a request.
     virtual bool handles(const std::string &target) const = 0;
     virtual Task<WholeAnswer> answer(std::string target) = 0;
 };
 
-/// Belongs to one event loop; the feed may be written by another thread.
+/// Serves a ChangeFeed. Belongs to one event loop; the feed may be changed by another thread.
 class FeedServer : public PeerRequestHandler
 {
 public:
-    /// @p known gives all items, from any thread.
-    FeedServer(Executor executor, std::string daemon, const ChangeFeed &feed, std::function<std::vector<KeyValue>()> known);
+    /// @p listItems returns all items of the store that this daemon knows; it is safe to call from any thread.
+    FeedServer(Executor executor, std::string daemon, const ChangeFeed &feed, std::function<std::vector<KeyValue>()> listItems);
 
     bool handles(const std::string &target) const override;
     Task<WholeAnswer> answer(std::string target) override;
-    /// The feed has changed. Call on the loop.
+    /// Wakes the waiting requests after a change of the feed. Must be called on the event loop.
     void wake();
 
 private:
@@ -52,8 +53,8 @@
     Executor executor_;
     std::string daemon_;
     const ChangeFeed &feed_;
-    std::function<std::vector<KeyValue>()> known_;
-    std::set<SteadyTimer *> waiting_;
+    std::function<std::vector<KeyValue>()> listItems_;
+    std::set<SteadyTimer *> waitingTimers_;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/fleet/load_aggregation.cpp
+++ b/src/portpaddle/fleet/load_aggregation.cpp
@@ -16,28 +16,28 @@
 
 namespace {
 
-// Each of the shards takes its turn to tell other regions: their news cost bytes between regions and only steer what is sent
-// away.
-constexpr std::size_t turnsOfRegions = aggregationShards;
-// Told for each shard and interval at most; the rest are found by their homes.
-constexpr std::size_t maxPartsOfShard = 4 * maxDigestParts;
+// Each shard sends digests to other regions only once in this many turns: the digests cost bandwidth between regions, and only
+// decisions to forward requests depend on them.
+constexpr std::size_t regionDigestTurns = aggregationShards;
+// Limit per shard and interval. Parts beyond it are still found at the upstreams that the ranking of prompt homes expects.
+constexpr std::size_t maxPartsPerShard = 4 * maxDigestParts;
 
 void addPart(std::vector<Wire::PlacedPart> &parts, const Wire::PlacedPart &part)
 {
     const bool known = std::any_of(parts.begin(), parts.end(), [&part](const Wire::PlacedPart &other) {
         return other.chain() == part.chain() && other.upstream() == part.upstream();
     });
-    if (!known && parts.size() < maxPartsOfShard) {
+    if (!known && parts.size() < maxPartsPerShard) {
         parts.push_back(part);
     }
 }
 
-std::vector<Wire::PlacedPart> takeAll(std::vector<Wire::PlacedPart> &parts)
+std::vector<Wire::PlacedPart> drainParts(std::vector<Wire::PlacedPart> &parts)
 {
     return std::exchange(parts, {});
 }
 
-/// The keys that fall into @p shard.
+/// Returns a predicate for the keys that belong to @p shard.
 auto inShard(unsigned shard)
 {
     return [shard](std::uint32_t key) { return shardOf(key) == shard; };
@@ -49,14 +49,14 @@
     return static_cast<std::uint16_t>(std::clamp<std::int64_t>(age, 0, std::numeric_limits<std::uint16_t>::max()));
 }
 
-/// The same members, older by @p time.
-std::vector<Wire::MemberNews> aged(const std::vector<Wire::MemberNews> &members, SteadyTime::duration time)
+/// Returns @p members with their ages increased by @p time.
+std::vector<Wire::MemberNews> withIncreasedAge(const std::vector<Wire::MemberNews> &members, SteadyTime::duration time)
 {
-    const auto more = std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
+    const auto additional = std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
     std::vector<Wire::MemberNews> result;
     result.reserve(members.size());
     for (const Wire::MemberNews &member : members) {
-        const auto age = std::min<std::int64_t>(member.age_ms() + more, std::numeric_limits<std::uint16_t>::max());
+        const auto age = std::min<std::int64_t>(member.age_ms() + additional, std::numeric_limits<std::uint16_t>::max());
         result.emplace_back(member.daemon(), static_cast<std::uint16_t>(age), member.phase());
     }
     return result;
@@ -72,8 +72,8 @@
     , regions_(regions)
     , limits_(limits)
     , aggregators_(ownId_, [this](const std::string &daemon, SteadyTime now) { return regions_.fellSilent(daemon, now); })
-    , localWindow_(stableHash(ownId_))
-    , regionsWindow_(stableHash(ownId_))
+    , localMemberCursor_(stableHash(ownId_))
+    , regionMemberCursor_(stableHash(ownId_))
 {
 }
 
@@ -81,14 +81,14 @@
 {
     view_ = std::move(view);
     members_.clear();
-    memberLinks_.clear();
+    memberLinkAddresses_.clear();
     for (const DaemonRecord &daemon : view_->daemons) {
         if (daemon.region != ownRegion_) {
             continue;
         }
         members_.push_back(&daemon);
         if (daemon.id != ownId_) {
-            memberLinks_.push_back(daemon.linkAddress);
+            memberLinkAddresses_.push_back(daemon.linkAddress);
         }
     }
     if (usesAggregators(*view_)) {
@@ -111,12 +111,12 @@
             continue;
         }
         if (!aggregators_.isSelf(*aggregator)) {
-            report(*aggregator, shard, shares.at(shard), header, now, out);
+            addReport(*aggregator, shard, shares.at(shard), header, now, out);
             continue;
         }
-        tellSums(shard, header, now, out);
-        if ((turn + shard) % turnsOfRegions == 0) {
-            tellRegions(shard, header, addWaits, now, out);
+        addSums(shard, header, now, out);
+        if ((turn + shard) % regionDigestTurns == 0) {
+            addRegionDigests(shard, header, addWaits, now, out);
         }
     }
     return out;
@@ -133,30 +133,30 @@
     for (const Wire::PlacedPart &part : loads_.takePlaced(DigestReach::OwnRegion)) {
         addPart(parts_.at(shardOf(part.upstream())), part);
     }
-    // Gatherers tell other regions of what they gathered.
+    // The parts for other regions are discarded: aggregators send those that were reported to them.
     (void)loads_.takePlaced(DigestReach::OtherRegions);
 }
 
-void LoadAggregation::report(const DaemonRecord &aggregator, unsigned shard, const std::vector<Wire::UpstreamShare> &shares,
-                             const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out)
+void LoadAggregation::addReport(const DaemonRecord &aggregator, unsigned shard, const std::vector<Wire::UpstreamShare> &shares,
+                                const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out)
 {
     loads_.noteReported(aggregator.id, shard, shares);
-    aggregators_.reported(aggregator.id, now);
+    aggregators_.noteReportSent(aggregator.id, now);
     Wire::LoadDigestT digest = header;
     digest.kind = Wire::DigestKind::Report;
     digest.shard = static_cast<std::uint8_t>(shard);
-    std::vector<Wire::LoadDigestT> parts = splitIntoDigests(digest, shares, takeAll(parts_.at(shard)));
+    std::vector<Wire::LoadDigestT> parts = splitIntoDigests(digest, shares, drainParts(parts_.at(shard)));
     attachLimits(parts, digest, { limits_.counts(inShard(shard), now), {}, {} });
     for (Wire::LoadDigestT &part : parts) {
         out.push_back({ { aggregator.linkAddress }, std::move(part) });
     }
 }
 
-std::vector<Wire::MemberNews> LoadAggregation::nextMembers(std::size_t &window, Wire::DaemonPhase ownPhase, SteadyTime now) const
+std::vector<Wire::MemberNews> LoadAggregation::nextMembers(std::size_t &cursor, Wire::DaemonPhase ownPhase, SteadyTime now) const
 {
     std::vector<Wire::MemberNews> result;
     for (std::size_t count = std::min(maxDigestMembers, members_.size()); count > 0; --count) {
-        const DaemonRecord &member = *members_[window++ % members_.size()];
+        const DaemonRecord &member = *members_[cursor++ % members_.size()];
         if (member.id == ownId_) {
             result.emplace_back(memberKey(member.id), 0, ownPhase);
         } else if (const auto heard = regions_.heardDirectly(member.id, now)) {
@@ -166,7 +166,7 @@
     return result;
 }
 
-void LoadAggregation::tellSums(unsigned shard, const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out)
+void LoadAggregation::addSums(unsigned shard, const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out)
 {
     const std::vector<Wire::UpstreamShare> sums = loads_.sums(shard, now);
     std::vector<Wire::PlacedPart> &forRegions = partsForRegions_.at(shard);
@@ -176,32 +176,32 @@
     Wire::LoadDigestT digest = header;
     digest.kind = Wire::DigestKind::Sum;
     digest.shard = static_cast<std::uint8_t>(shard);
-    std::vector<Wire::LoadDigestT> parts = splitIntoDigests(digest, sums, takeAll(parts_.at(shard)));
+    std::vector<Wire::LoadDigestT> parts = splitIntoDigests(digest, sums, drainParts(parts_.at(shard)));
     attachLimits(parts, digest, { {}, limits_.grants(inShard(shard), now), {} });
     for (Wire::LoadDigestT &part : parts) {
-        out.push_back({ memberLinks_, std::move(part) });
+        out.push_back({ memberLinkAddresses_, std::move(part) });
     }
-    digest.members = nextMembers(localWindow_, header.phase, now);
-    passOn(digest, memberLinks_, now, out);
+    digest.members = nextMembers(localMemberCursor_, header.phase, now);
+    addRelayedRegions(digest, memberLinkAddresses_, now, out);
 }
 
-/// Each datagram holds the news of one other region; where there are none, only what the own members are told of each other.
-void LoadAggregation::passOn(const Wire::LoadDigestT &header, std::vector<std::string> to, SteadyTime now,
-                             std::vector<OutgoingDigest> &out)
+/// Adds one digest for each other region with new data; if there is none, a digest with only the members of the own region.
+void LoadAggregation::addRelayedRegions(const Wire::LoadDigestT &header, std::vector<std::string> to, SteadyTime now,
+                                        std::vector<OutgoingDigest> &out)
 {
     Wire::LoadDigestT digest = header;
     for (auto &[name, region] : otherRegions_) {
-        if (!region.fresh) {
+        if (!region.isUnsent) {
             continue;
         }
-        region.fresh = false;
-        auto news = std::make_unique<Wire::RegionNewsT>();
-        news->region = name;
-        news->services = region.services;
-        news->placed = takeAll(region.placed);
-        news->placed.resize(std::min(news->placed.size(), maxPassedOnParts));
-        news->members = aged(region.members, now - region.at);
-        digest.regions.push_back(std::move(news));
+        region.isUnsent = false;
+        auto regionNews = std::make_unique<Wire::RegionNewsT>();
+        regionNews->region = name;
+        regionNews->services = region.services;
+        regionNews->placed = drainParts(region.placed);
+        regionNews->placed.resize(std::min(regionNews->placed.size(), maxRelayedParts));
+        regionNews->members = withIncreasedAge(region.members, now - region.at);
+        digest.regions.push_back(std::move(regionNews));
         out.push_back({ to, digest });
         digest.members.clear();
         digest.regions.clear();
@@ -211,9 +211,9 @@
     }
 }
 
-void LoadAggregation::tellRegions(unsigned shard, Wire::LoadDigestT digest,
-                                  const std::function<void(Wire::LoadDigestT &)> &addWaits, SteadyTime now,
-                                  std::vector<OutgoingDigest> &out)
+void LoadAggregation::addRegionDigests(unsigned shard, Wire::LoadDigestT digest,
+                                       const std::function<void(Wire::LoadDigestT &)> &addWaits, SteadyTime now,
+                                       std::vector<OutgoingDigest> &out)
 {
     std::vector<std::string> to;
     for (const std::string &region : aggregators_.regions()) {
@@ -228,9 +228,9 @@
     digest.kind = Wire::DigestKind::Region;
     digest.shard = static_cast<std::uint8_t>(shard);
     addWaits(digest);
-    digest.placed = takeAll(partsForRegions_.at(shard));
+    digest.placed = drainParts(partsForRegions_.at(shard));
     digest.placed.resize(std::min(digest.placed.size(), maxDigestParts));
-    digest.members = nextMembers(regionsWindow_, digest.phase, now);
+    digest.members = nextMembers(regionMemberCursor_, digest.phase, now);
     Wire::LoadDigestT header = digest;
     header.placed.clear();
     header.members.clear();
@@ -256,13 +256,13 @@
         }
         break;
     case Wire::DigestKind::Sum: {
-        aggregators_.heardSums(digest.daemon, now);
+        aggregators_.noteSumsReceived(digest.daemon, now);
         regions_.takeMembers(digest.members, now);
-        for (const std::unique_ptr<Wire::RegionNewsT> &news : digest.regions) {
-            regions_.takeRegion(news->region, news->services, news->placed, now);
-            regions_.takeMembers(news->members, now);
+        for (const std::unique_ptr<Wire::RegionNewsT> &regionNews : digest.regions) {
+            regions_.takeRegion(regionNews->region, regionNews->services, regionNews->placed, now);
+            regions_.takeMembers(regionNews->members, now);
         }
-        // Two gatherers of one shard would count what the other one counted.
+        // An aggregator ignores sums of its own shard: if two daemons aggregate one shard, each would include the other's counts.
         const DaemonRecord *aggregator
             = digest.shard < aggregationShards ? aggregators_.of(ownRegion_, digest.shard, now) : nullptr;
         if (aggregator != nullptr && !aggregators_.isSelf(*aggregator)) {
@@ -286,7 +286,7 @@
         }
         region.members = digest.members;
         region.at = now;
-        region.fresh = true;
+        region.isUnsent = true;
         break;
     }
     }
--- a/src/portpaddle/fleet/load_aggregation.h
+++ b/src/portpaddle/fleet/load_aggregation.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What daemons of a large fleet tell each other: reports to gatherers, sums for all daemons of a region, news between regions.
+/// Load digests of a large fleet: reports to aggregators, sums for all daemons of a region, and digests between regions.
 #pragma once
 
 #include "portpaddle/fleet/aggregators.h"
@@ -17,21 +17,22 @@
 
 namespace Portpaddle {
 
-/// One digest and the link addresses of the daemons that it goes to.
+/// A digest and the link addresses of its recipients.
 struct OutgoingDigest
 {
     std::vector<std::string> to;
     Wire::LoadDigestT digest;
 };
 
-/// How often a daemon reports and a gatherer tells sums.
+/// Interval at which daemons send reports and aggregators send sums.
 inline constexpr std::chrono::milliseconds digestInterval{ 100 };
-/// Daemons of which one digest tells; the window moves on from digest to digest.
+/// Maximum number of members whose state one digest contains; successive digests cycle through all members.
 inline constexpr std::size_t maxDigestMembers = 48;
-/// Parts that one digest passes on from another region.
-inline constexpr std::size_t maxPassedOnParts = 8;
+/// Maximum number of parts from another region that one digest relays.
+inline constexpr std::size_t maxRelayedParts = 8;
 
-/// Belongs to one event loop. What is told is a function of the picture of the fleet, the loads and the number of the turn.
+/// Builds outgoing load digests and applies incoming ones. The outgoing digests depend only on the fleet view, the loads and the
+/// turn number. Belongs to one event loop.
 class LoadAggregation
 {
 public:
@@ -39,36 +40,39 @@
                     OrganisationLimits &limits);
 
     void setView(std::shared_ptr<const FleetView> view);
-    /// What to send at this turn, of which there is one in each interval. @p header has the sender and
-    /// its phase; @p addWaits adds how its region does, where that is told.
+    /// Returns the digests to send at @p turn; there is one turn per interval. @p header holds the sender and its phase;
+    /// @p addWaits adds the waiting times of the own region to digests for other regions.
     std::vector<OutgoingDigest> due(std::size_t turn, const Wire::LoadDigestT &header,
                                     const std::function<void(Wire::LoadDigestT &)> &addWaits, SteadyTime now);
-    /// Takes a Report, Sum or Region digest whose sender is noted already.
+    /// Applies a Report, Sum or Region digest whose sender was already recorded.
     void take(const Wire::LoadDigestT &digest, SteadyTime now);
-    /// Whether this daemon gathers the news of @p shard for its region.
+    /// Whether this daemon is the aggregator of @p shard in its region.
     bool isAggregator(unsigned shard, SteadyTime now) const;
 
 private:
-    /// What another region's gatherers told since it was passed on.
+    /// Data that arrived from another region's aggregators since it was last relayed to the daemons of the own region.
     struct OtherRegion
     {
         std::vector<Wire::ServiceWait> services;
         std::vector<Wire::PlacedPart> placed;
         std::vector<Wire::MemberNews> members;
         SteadyTime at{};
-        bool fresh = false;
+        /// Whether the data is still to be relayed.
+        bool isUnsent = false;
     };
 
     void collectParts();
-    /// @p shares are this daemon's at the upstreams of @p shard.
-    void report(const DaemonRecord &aggregator, unsigned shard, const std::vector<Wire::UpstreamShare> &shares,
-                const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out);
-    void tellSums(unsigned shard, const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out);
-    void passOn(const Wire::LoadDigestT &header, std::vector<std::string> to, SteadyTime now, std::vector<OutgoingDigest> &out);
-    void tellRegions(unsigned shard, Wire::LoadDigestT digest, const std::function<void(Wire::LoadDigestT &)> &addWaits,
-                     SteadyTime now, std::vector<OutgoingDigest> &out);
-    /// The next daemons of the own region to tell of that this one heard itself.
-    std::vector<Wire::MemberNews> nextMembers(std::size_t &window, Wire::DaemonPhase ownPhase, SteadyTime now) const;
+    /// Adds this daemon's report to @p aggregator. @p shares are this daemon's at the upstreams of @p shard.
+    void addReport(const DaemonRecord &aggregator, unsigned shard, const std::vector<Wire::UpstreamShare> &shares,
+                   const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out);
+    void addSums(unsigned shard, const Wire::LoadDigestT &header, SteadyTime now, std::vector<OutgoingDigest> &out);
+    void addRelayedRegions(const Wire::LoadDigestT &header, std::vector<std::string> to, SteadyTime now,
+                           std::vector<OutgoingDigest> &out);
+    void addRegionDigests(unsigned shard, Wire::LoadDigestT digest, const std::function<void(Wire::LoadDigestT &)> &addWaits,
+                          SteadyTime now, std::vector<OutgoingDigest> &out);
+    /// Returns the state of the next members of the own region, this daemon and those that it heard directly, and advances
+    /// @p cursor.
+    std::vector<Wire::MemberNews> nextMembers(std::size_t &cursor, Wire::DaemonPhase ownPhase, SteadyTime now) const;
 
     std::string ownId_;
     std::string ownRegion_;
@@ -79,15 +83,15 @@
     std::shared_ptr<const FleetView> view_;
     /// Daemons of the own region, this one included; points into the view.
     std::vector<const DaemonRecord *> members_;
-    /// Where the others of them are reached.
-    std::vector<std::string> memberLinks_;
-    /// Parts to report or to tell, by shard.
+    /// Link addresses of the other daemons of the own region.
+    std::vector<std::string> memberLinkAddresses_;
+    /// Parts to send within the own region, by shard.
     std::array<std::vector<Wire::PlacedPart>, aggregationShards> parts_;
-    /// The same for other regions.
+    /// Parts to send to other regions, by shard.
     std::array<std::vector<Wire::PlacedPart>, aggregationShards> partsForRegions_;
     std::unordered_map<std::string, OtherRegion> otherRegions_;
-    std::size_t localWindow_ = 0;
-    std::size_t regionsWindow_ = 0;
+    std::size_t localMemberCursor_ = 0;
+    std::size_t regionMemberCursor_ = 0;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/fleet/record_writer.cpp
+++ b/src/portpaddle/fleet/record_writer.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr Millis pauseStep{ 50 };
-// After a call that failed: a store that is back is told within half a second.
-constexpr Millis pauseAfterFailure{ 500 };
-constexpr std::size_t maxWaiting = 1'024;
+constexpr Millis pollInterval{ 50 };
+// Delay after a failed call, so that a store that is available again receives the records within half a second.
+constexpr Millis retryDelay{ 500 };
+constexpr std::size_t maxPending = 1'024;
 
 } // namespace
 
@@ -36,9 +36,9 @@
 void RecordWriter::write(LeasedRecord record)
 {
     const std::lock_guard lock(mutex_);
-    if (waiting_.size() < maxWaiting || waiting_.contains(record.key)) {
+    if (pending_.size() < maxPending || pending_.contains(record.key)) {
         std::string key = record.key;
-        waiting_[std::move(key)] = std::move(record);
+        pending_[std::move(key)] = std::move(record);
     }
 }
 
@@ -48,34 +48,34 @@
         std::vector<LeasedRecord> due;
         {
             const std::lock_guard lock(mutex_);
-            for (const auto &[key, record] : waiting_) {
+            for (const auto &[key, record] : pending_) {
                 due.push_back(record);
             }
         }
-        bool well = true;
+        bool succeeded = true;
         for (const LeasedRecord &record : due) {
-            well = well && !stopping_ && writeNow(record);
+            succeeded = succeeded && !stopping_ && tryWrite(record);
         }
-        std::this_thread::sleep_for(well ? pauseStep : pauseAfterFailure);
+        std::this_thread::sleep_for(succeeded ? pollInterval : retryDelay);
     }
 }
 
-bool RecordWriter::writeNow(const LeasedRecord &record)
+bool RecordWriter::tryWrite(const LeasedRecord &record)
 {
     const Result<LeaseGrant> grant = store_.grantLease(record.lease);
     if (!isOk(grant)) {
-        logEvent(record.notWritten, { { "message", errorOf(grant).message } });
+        logEvent(record.failureEvent, { { "message", errorOf(grant).message } });
         return false;
     }
     const Result<std::uint64_t> written = store_.write(record.key, record.text, valueOf(grant).id);
     if (!isOk(written)) {
-        logEvent(record.notWritten, { { "message", errorOf(written).message } });
+        logEvent(record.failureEvent, { { "message", errorOf(written).message } });
         return false;
     }
     const std::lock_guard lock(mutex_);
-    const auto waiting = waiting_.find(record.key);
-    if (waiting != waiting_.end() && waiting->second.text == record.text) {
-        waiting_.erase(waiting);
+    const auto pending = pending_.find(record.key);
+    if (pending != pending_.end() && pending->second.text == record.text) {
+        pending_.erase(pending);
     }
     return true;
 }
--- a/src/portpaddle/fleet/record_writer.h
+++ b/src/portpaddle/fleet/record_writer.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Keeps on the platform what has to outlive all daemons at once.
+/// Writes records to the platform's store that must survive even if all daemons stop at once.
 #pragma once
 
 #include "portpaddle/base/log.h"
@@ -15,17 +15,17 @@
 
 namespace Portpaddle {
 
-/// One key, its text, and how long it is to stay.
+/// A key, its value and its lifetime.
 struct LeasedRecord
 {
     std::string key;
     std::string text;
     Millis lease{ 0 };
-    /// Logged when the platform does not take it.
-    LogEvent notWritten = LogEvent::QuarantineNotWritten;
+    /// Logged if the store does not accept the record.
+    LogEvent failureEvent = LogEvent::QuarantineNotWritten;
 };
 
-/// Runs a thread until it is destroyed. Records lie under leases of their own and go by themselves.
+/// Writes records from a thread of its own until it is destroyed. Every record has a lease of its own and expires with it.
 class RecordWriter
 {
 public:
@@ -33,18 +33,19 @@
     ~RecordWriter();
 
     void start();
-    /// Writes @p record as soon as the store takes it, unless another one for its key comes before; does not wait. Thread-safe.
+    /// Queues @p record, which is written as soon as the store accepts it unless a newer one for its key replaces it. If the
+    /// queue is full, a record with a new key is dropped. Does not block; thread-safe.
     void write(LeasedRecord record);
 
 private:
     void run();
-    /// False where the store did not take it.
-    bool writeNow(const LeasedRecord &record);
+    /// Returns false if the store did not accept @p record.
+    bool tryWrite(const LeasedRecord &record);
 
     LeasedStore &store_;
     std::mutex mutex_;
-    /// By key.
-    std::map<std::string, LeasedRecord> waiting_;
+    /// Records to be written, by key.
+    std::map<std::string, LeasedRecord> pending_;
     std::atomic<bool> stopping_{ false };
     Thread thread_;
 };
--- a/src/portpaddle/fleet/relayed_store.cpp
+++ b/src/portpaddle/fleet/relayed_store.cpp
@@ -18,31 +18,31 @@
 
 namespace {
 
-// So many daemons of a region follow the store. Each change reaches the others through any of them; two may be lost at once.
-constexpr std::size_t directFollowers = 3;
-// Those that are asked after them, when they are lost: they then follow the store themselves.
+// Number of daemons of a region that follow the store itself. Any of them relays every change, so that two may fail at once.
+constexpr std::size_t maxDirectFollowers = 3;
+// Includes daemons ranked below the direct followers: when those fail, the next ones by rank follow the store themselves.
 constexpr std::size_t maxSources = 6;
-// Daemons of the own region are one or two hops away.
+// Daemons of the own region are one or two network hops away.
 constexpr Millis connectTimeout{ 400 };
-// Beyond the time for which an answer waits: a small VM may stand still for some hundred milliseconds.
-constexpr Millis answerSlack{ 700 };
+// Added to the time for which an answer may wait: a small VM may stall for some hundred milliseconds.
+constexpr Millis readTimeoutMargin{ 700 };
 constexpr std::chrono::milliseconds avoidTime{ 1'000 };
-// How long a waiting call to the store takes where all sources failed: they may be back. Its answer may be lost, which shows only
-// when the call times out some seconds later; with 5 s here a configuration was missed for 5.7 s after the store had lost
-// answers.
-constexpr Millis directWait{ 1'000 };
-// Between two calls to a store that failed too.
-constexpr std::chrono::milliseconds betweenStoreCalls{ 1'500 };
+// Limit for a waiting call to the store after all sources failed, because they may be available again. The answer of the store
+// may be lost, which shows only when the call times out some seconds later: with a limit of 5 s, a daemon missed a configuration
+// for 5.7 s after the store had lost answers.
+constexpr Millis maxDirectWait{ 1'000 };
+// Delay before the store is called again if it failed as well.
+constexpr std::chrono::milliseconds storeRetryDelay{ 1'500 };
 
 Error unavailable(std::string message)
 {
     return Error{ ErrorCode::PlatformUnavailable, std::move(message), RunState::NotRun, {} };
 }
 
-/// Whether what a source knows is news of the store at all.
-bool isConfirmed(const FeedUpdate &news, SteadyTime now)
+/// Whether the state that a source sent was confirmed by the store recently.
+bool isConfirmed(const FeedUpdate &update, SteadyTime now)
 {
-    return news.reachable && news.revision > 0 && now - news.confirmedAt < oldestConfirmation;
+    return update.reachable && update.revision > 0 && now - update.confirmedAt < maxConfirmationAge;
 }
 
 } // namespace
@@ -54,7 +54,7 @@
         return role;
     }
     const std::vector<const DaemonRecord *> ranked = rankForRole(view, region, "store");
-    const std::size_t direct = std::min(directFollowers, ranked.size());
+    const std::size_t direct = std::min(maxDirectFollowers, ranked.size());
     role.direct = std::any_of(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(direct),
                               [&id](const DaemonRecord *daemon) { return daemon->id == id; });
     for (const DaemonRecord *daemon : ranked) {
@@ -84,20 +84,20 @@
             usable.push_back(address);
         }
     }
-    // In turns: one that stands still or is cut off delays a change by one question at most.
-    const std::size_t first = std::min(usable.size(), directFollowers);
+    // The first sources are rotated, so that one that stalls or is partitioned delays a change by one request at most.
+    const std::size_t first = std::min(usable.size(), maxDirectFollowers);
     if (first > 0) {
-        std::rotate(usable.begin(), usable.begin() + static_cast<std::ptrdiff_t>(turn_++ % first),
+        std::rotate(usable.begin(), usable.begin() + static_cast<std::ptrdiff_t>(rotation_++ % first),
                     usable.begin() + static_cast<std::ptrdiff_t>(first));
     }
     return usable;
 }
 
-Result<std::string> RelayedStore::ask(const std::string &address, const std::string &target)
+Result<std::string> RelayedStore::request(const std::string &address, const std::string &target)
 {
     const auto endpoint = parseEndpoint(address);
     if (!endpoint) {
-        return unavailable("a daemon's link address is broken");
+        return unavailable("a daemon has an invalid link address");
     }
     std::shared_ptr<httplib::Client> client;
     {
@@ -107,10 +107,10 @@
             source.client = std::make_shared<httplib::Client>(endpoint->address().to_string(), endpoint->port());
             source.client->set_keep_alive(true);
             source.client->set_connection_timeout(connectTimeout);
-            source.client->set_read_timeout(longestFeedWait + answerSlack);
+            source.client->set_read_timeout(maxFeedWait + readTimeoutMargin);
         }
         client = source.client;
-        asked_ = client;
+        activeClient_ = client;
     }
     std::string body;
     const httplib::Result result = client->Get(target, [&body](const char *data, std::size_t size) {
@@ -118,10 +118,10 @@
         return body.size() <= largestStateBytes;
     });
     const std::lock_guard lock(mutex_);
-    asked_.reset();
+    activeClient_.reset();
     if (!result || result->status != 200) {
         sources_[address].client.reset();
-        return unavailable("the daemon at " + address + " does not hand on the store's changes");
+        return unavailable("the daemon at " + address + " does not relay the store's contents");
     }
     return body;
 }
@@ -136,65 +136,67 @@
     return role;
 }
 
-void RelayedStore::avoid(const std::string &address, const Error &why)
+void RelayedStore::avoidSource(const std::string &address, const Error &why)
 {
     logEvent(LogEvent::FollowSourceLeft, { { "source", address }, { "reason", why.message } });
     const std::lock_guard lock(mutex_);
     sources_[address].avoidedUntil = BootClock::now() + avoidTime;
 }
 
-Result<FeedUpdate> RelayedStore::askConfirmed(const std::string &address, const std::string &target)
+Result<FeedUpdate> RelayedStore::requestConfirmed(const std::string &address, const std::string &target)
 {
-    const Result<std::string> body = ask(address, target);
+    const Result<std::string> body = request(address, target);
     if (!isOk(body)) {
         return errorOf(body);
     }
     const auto now = BootClock::now();
-    Result<FeedUpdate> news = decodeChanges(valueOf(body), now);
-    if (isOk(news) && !isConfirmed(valueOf(news), now)) {
+    Result<FeedUpdate> update = decodeChanges(valueOf(body), now);
+    if (isOk(update) && !isConfirmed(valueOf(update), now)) {
         return unavailable("the daemon at " + address + " has no contact with the store");
     }
-    return news;
+    return update;
 }
 
 Result<KeyChanges> RelayedStore::followPeer(const std::string &address, std::uint64_t revision)
 {
-    Result<FeedUpdate> news = askConfirmed(address, fmt::format("{}?after={}", changesPath, revision));
-    if (!isOk(news)) {
-        return errorOf(news);
+    Result<FeedUpdate> update = requestConfirmed(address, fmt::format("{}?after={}", changesPath, revision));
+    if (!isOk(update)) {
+        return errorOf(update);
     }
-    if (valueOf(news).incomplete && valueOf(news).revision <= revision) {
-        return unavailable("the daemon at " + address + " knows less than this one");
+    if (valueOf(update).incomplete && valueOf(update).revision <= revision) {
+        return unavailable("the daemon at " + address + " has no newer contents than this one");
     }
-    if (valueOf(news).incomplete) {
-        // The listing that follows must not come from a daemon that missed the same changes as this one.
-        highestRevision_ = valueOf(news).revision;
-        return Error{ ErrorCode::HistoryCompacted, "the daemon at " + address + " forgot these changes", RunState::NotRun, {} };
+    if (valueOf(update).incomplete) {
+        // The next listing must not come from a daemon that missed the same changes as this one.
+        highestRevision_ = valueOf(update).revision;
+        return Error{
+            ErrorCode::HistoryCompacted, "the daemon at " + address + " no longer has these changes", RunState::NotRun, {}
+        };
     }
     KeyChanges changes;
-    changes.changes = std::move(valueOf(news).changes);
-    // One that is behind says nothing about what is known here already.
-    changes.revision = std::max(revision, valueOf(news).revision);
-    changes.confirmedAt = valueOf(news).confirmedAt;
+    changes.changes = std::move(valueOf(update).changes);
+    // A source that is behind must not lower the revision that is already known here.
+    changes.revision = std::max(revision, valueOf(update).revision);
+    changes.confirmedAt = valueOf(update).confirmedAt;
     changes.relayed = true;
     return changes;
 }
 
 Result<KeyListing> RelayedStore::listPeer(const std::string &address)
 {
-    Result<FeedUpdate> news = askConfirmed(address, statePath);
-    if (!isOk(news)) {
-        return errorOf(news);
+    Result<FeedUpdate> update = requestConfirmed(address, statePath);
+    if (!isOk(update)) {
+        return errorOf(update);
     }
-    if (valueOf(news).revision < highestRevision_) {
-        return unavailable("the daemon at " + address + " knows less than this one");
+    if (valueOf(update).revision < highestRevision_) {
+        return unavailable("the daemon at " + address + " has older contents than this one");
     }
     KeyListing listing;
-    for (KeyChange &change : valueOf(news).changes) {
+    for (KeyChange &change : valueOf(update).changes) {
         listing.items.push_back(std::move(change.item));
     }
-    listing.revision = valueOf(news).revision;
-    listing.confirmedAt = valueOf(news).confirmedAt;
+    listing.revision = valueOf(update).revision;
+    listing.confirmedAt = valueOf(update).confirmedAt;
     return listing;
 }
 
@@ -208,7 +210,7 @@
                 highestRevision_ = valueOf(listing).revision;
                 return listing;
             }
-            avoid(address, errorOf(listing));
+            avoidSource(address, errorOf(listing));
         }
     }
     Result<KeyListing> listing = store_.listAll(prefix, freshness);
@@ -227,18 +229,18 @@
     }
     for (const std::string &address : usableSources(role, BootClock::now())) {
         Result<KeyChanges> changes = followPeer(address, revision);
-        // A source that is ahead and has forgotten goes before others that may have missed the same changes.
+        // A newer source that no longer has the changes takes precedence over others that may have missed the same changes.
         if (isOk(changes) || errorOf(changes).code == ErrorCode::HistoryCompacted) {
             return changes;
         }
-        avoid(address, errorOf(changes));
+        avoidSource(address, errorOf(changes));
     }
-    if (BootClock::now() < storeCallsFrom_) {
-        return unavailable("no daemon hands on the store's changes, and the store failed just now");
+    if (BootClock::now() < storeRetryAt_) {
+        return unavailable("no daemon relays the store's changes, and the last call to the store failed");
     }
-    Result<KeyChanges> changes = store_.follow(prefix, revision, std::min(timeout, directWait));
+    Result<KeyChanges> changes = store_.follow(prefix, revision, std::min(timeout, maxDirectWait));
     if (!isOk(changes) && errorOf(changes).code != ErrorCode::HistoryCompacted) {
-        storeCallsFrom_ = BootClock::now() + betweenStoreCalls;
+        storeRetryAt_ = BootClock::now() + storeRetryDelay;
     }
     return changes;
 }
@@ -252,8 +254,8 @@
 {
     store_.interrupt();
     const std::lock_guard lock(mutex_);
-    if (asked_) {
-        asked_->stop();
+    if (activeClient_) {
+        activeClient_->stop();
     }
 }
 
--- a/src/portpaddle/fleet/relayed_store.h
+++ b/src/portpaddle/fleet/relayed_store.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Follows the store by way of other daemons, so that a few follow it for a whole region.
+/// Follows the store through other daemons, so that only a few daemons of a region follow the store itself.
 #pragma once
 
 #include "portpaddle/interfaces/watched_store.h"
@@ -23,20 +23,20 @@
 struct FeedUpdate;
 struct FleetView;
 
-/// How a daemon gets at the store's contents.
+/// How a daemon follows the store's contents.
 struct FollowRole
 {
-    /// It follows the store itself.
+    /// Whether the daemon follows the store itself.
     bool direct = true;
-    /// Link addresses of the daemons that it follows otherwise, the first ones before the others.
+    /// Link addresses of the daemons that it follows otherwise, in order of preference.
     std::vector<std::string> sources;
 };
 
-/// The role of daemon @p id of @p region by @p view: the first few by rank follow the store.
+/// Returns the role of daemon @p id of @p region in @p view: the few daemons that rank first follow the store itself.
 FollowRole followRole(const FleetView &view, const std::string &id, const std::string &region);
 
-/// A store whose contents come from other daemons while these are well, and from the store itself otherwise.
-/// Calls of one object follow each other.
+/// Reads the store's contents from other daemons while these are healthy, and from the store itself otherwise. Calls must not
+/// overlap, except interrupt().
 class RelayedStore : public WatchedStore
 {
 public:
@@ -57,29 +57,29 @@
         Time avoidedUntil{};
     };
 
-    /// Those of @p role that did not fail just now, in the order in which to ask them.
+    /// Returns the sources of @p role that did not fail recently, in the order in which to ask them.
     std::vector<std::string> usableSources(const FollowRole &role, Time now);
-    /// What the daemon at @p address answers.
-    Result<std::string> ask(const std::string &address, const std::string &target);
-    /// The same, decoded; an error where what it says was not confirmed by the store lately.
-    Result<FeedUpdate> askConfirmed(const std::string &address, const std::string &target);
+    /// Returns the answer of the daemon at @p address to a request for @p target.
+    Result<std::string> request(const std::string &address, const std::string &target);
+    /// Returns the decoded answer; an error if the store has not confirmed its state recently.
+    Result<FeedUpdate> requestConfirmed(const std::string &address, const std::string &target);
     Result<KeyChanges> followPeer(const std::string &address, std::uint64_t revision);
     Result<KeyListing> listPeer(const std::string &address);
-    void avoid(const std::string &address, const Error &why);
-    /// The role of this moment; a change is logged.
+    void avoidSource(const std::string &address, const Error &why);
+    /// Returns the current role and logs a change.
     FollowRole currentRole();
 
     WatchedStore &store_;
     std::function<FollowRole()> role_;
     std::mutex mutex_;
     std::unordered_map<std::string, Source> sources_;
-    /// Whose answer is being waited for.
-    std::shared_ptr<httplib::Client> asked_;
-    std::size_t turn_ = 0;
+    /// The client of the request in progress; interrupt() stops it.
+    std::shared_ptr<httplib::Client> activeClient_;
+    std::size_t rotation_ = 0;
     std::uint64_t highestRevision_ = 0;
     bool direct_ = true;
-    /// After a call to the store that failed as all sources had; until then it is not called again.
-    Time storeCallsFrom_{};
+    /// Until this time the store is not called, after a call to it failed when all sources had failed as well.
+    Time storeRetryAt_{};
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/fleet/role_ranking.cpp
+++ b/src/portpaddle/fleet/role_ranking.cpp
@@ -11,31 +11,31 @@
 
 namespace {
 
-// A VM that tells nothing of its strength.
-constexpr double unknownStrength = 0.1;
+// Assumed for a daemon that did not state how many cores it may use.
+constexpr double unknownCpuCores = 0.1;
 
 struct Ranked
 {
-    double draw = 0;
+    double score = 0;
     const DaemonRecord *daemon = nullptr;
 };
 
-/// The cube lets a few VMs of half a core go before a hundred of an eighth of one, which would spend a tenth of it on this work.
+/// The cube ranks a few VMs of half a core before a hundred of an eighth of a core, which would spend a tenth of it on this work.
 double weightOf(const DaemonRecord &daemon)
 {
-    const double strength = daemon.cpuCores > 0 ? daemon.cpuCores : unknownStrength;
-    return strength * strength * strength;
+    const double cores = daemon.cpuCores > 0 ? daemon.cpuCores : unknownCpuCores;
+    return cores * cores * cores;
 }
 
 } // namespace
 
 bool usesAggregators(const FleetView &view)
 {
-    return view.daemons.size() > largestDirectFleet;
+    return view.daemons.size() > maxDirectFleetSize;
 }
 
-// Weighted rendezvous hashing, the straw2 buckets of CRUSH: a daemon that comes or goes changes only what it gains or loses
-// itself.
+// Weighted rendezvous hashing as in the straw2 buckets of CRUSH: a daemon that joins or leaves changes only the roles that it
+// gains or loses itself.
 std::vector<const DaemonRecord *> rankForRole(const FleetView &view, std::string_view region, std::string_view role)
 {
     const std::uint64_t key = stableHash(role);
@@ -45,7 +45,7 @@
             ranked.push_back({ rendezvousScore(key, stableHash(daemon.id), weightOf(daemon)), &daemon });
         }
     }
-    std::sort(ranked.begin(), ranked.end(), [](const Ranked &a, const Ranked &b) { return a.draw > b.draw; });
+    std::sort(ranked.begin(), ranked.end(), [](const Ranked &a, const Ranked &b) { return a.score > b.score; });
     std::vector<const DaemonRecord *> result;
     result.reserve(ranked.size());
     for (const Ranked &entry : ranked) {
--- a/src/portpaddle/fleet/role_ranking.h
+++ b/src/portpaddle/fleet/role_ranking.h
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Which daemons do work for all of their region. Every daemon ranks them alike from the list of daemons, so that nobody is
-/// elected.
+/// Ranking of the daemons that work on behalf of their region. Every daemon computes the same ranking from the list of daemons,
+/// so that no election is needed.
 #pragma once
 
 #include "portpaddle/gateway/fleet_view.h"
@@ -13,17 +13,17 @@
 
 namespace Portpaddle {
 
-/// In larger fleets news and the store's changes come by way of a few daemons of each region; in smaller ones each daemon tells
-/// all others and follows the store by itself.
-inline constexpr std::size_t largestDirectFleet = 24;
+/// In larger fleets, a few daemons of each region aggregate load digests and relay the store's changes. In smaller ones, every
+/// daemon sends digests to all others and follows the store itself.
+inline constexpr std::size_t maxDirectFleetSize = 24;
 
-/// Whether @p view is of a fleet in which few daemons work for all.
+/// Whether the fleet of @p view is so large that a few daemons aggregate and relay for their region.
 bool usesAggregators(const FleetView &view);
 
-/// The daemons of @p region that do not leave, the first choice for @p role first.
+/// Returns the daemons of @p region that are not leaving, ranked for @p role with the first choice first.
 std::vector<const DaemonRecord *> rankForRole(const FleetView &view, std::string_view region, std::string_view role);
 
-/// The key under which news name a daemon.
+/// Returns the key that identifies a daemon in digests.
 std::uint32_t memberKey(std::string_view daemon);
 
 } // namespace Portpaddle
--- a/src/portpaddle/fleet/stable_owner.cpp
+++ b/src/portpaddle/fleet/stable_owner.cpp
@@ -11,52 +11,52 @@
 
 namespace {
 
-// Daemons learn of each other's coming and going within about two seconds; an owner that waits longer than that finds the one
-// before it gone, and only daemons that are cut off may still think otherwise.
+// Daemons learn of members that join or leave within about two seconds. If a new owner waits longer than that, the previous owner
+// has given up its role, and only partitioned daemons may still assume otherwise.
 constexpr std::chrono::milliseconds settlingTime{ 3'000 };
-// Many upstreams may be asked for with each request.
-constexpr std::chrono::milliseconds verdictAge{ 100 };
+// Results are cached because every request may need them for many upstreams.
+constexpr std::chrono::milliseconds cacheLifetime{ 100 };
 
-/// No daemon that hears the news still goes by it.
-bool isPast(SteadyTime until, SteadyTime now)
+/// Whether a list replaced at @p until is no longer used by any daemon that receives updates.
+bool isExpired(SteadyTime until, SteadyTime now)
 {
     return until != SteadyTime::max() && until + settlingTime < now;
 }
 
 } // namespace
 
-StableOwner::StableOwner(std::string_view ownId) : self_(stableHash(ownId))
+StableOwner::StableOwner(std::string_view ownId) : ownHash_(stableHash(ownId))
 {
 }
 
 void StableOwner::setMembers(std::vector<std::uint64_t> members, SteadyTime now)
 {
     std::sort(members.begin(), members.end());
-    knownSince_ = std::min(knownSince_, now);
+    firstListAt_ = std::min(firstListAt_, now);
     if (!memberships_.empty()) {
         if (memberships_.back().members == members) {
             return;
         }
         memberships_.back().until = now;
     }
-    while (!memberships_.empty() && isPast(memberships_.front().until, now)) {
+    while (!memberships_.empty() && isExpired(memberships_.front().until, now)) {
         memberships_.pop_front();
     }
     memberships_.push_back({ std::move(members), SteadyTime::max() });
-    verdicts_.clear();
+    cache_.clear();
 }
 
 std::optional<std::size_t> StableOwner::rankIn(const Membership &membership, std::uint64_t key) const
 {
     const std::vector<std::uint64_t> &members = membership.members;
-    if (!std::binary_search(members.begin(), members.end(), self_)) {
+    if (!std::binary_search(members.begin(), members.end(), ownHash_)) {
         return std::nullopt;
     }
-    const double own = rendezvousScore(key, self_, 1);
-    const auto before = std::count_if(members.begin(), members.end(), [&](std::uint64_t member) {
-        return member != self_ && rendezvousScore(key, member, 1) >= own;
+    const double own = rendezvousScore(key, ownHash_, 1);
+    const auto rankedBefore = std::count_if(members.begin(), members.end(), [&](std::uint64_t member) {
+        return member != ownHash_ && rendezvousScore(key, member, 1) >= own;
     });
-    return static_cast<std::size_t>(before);
+    return static_cast<std::size_t>(rankedBefore);
 }
 
 bool StableOwner::owns(std::uint64_t key, SteadyTime now)
@@ -66,20 +66,20 @@
 
 bool StableOwner::isAmong(std::uint64_t key, unsigned count, SteadyTime now)
 {
-    const auto [entry, added] = verdicts_.try_emplace(key);
-    Verdict &verdict = entry->second;
-    if (!added && verdict.count == count && now - verdict.at < verdictAge) {
-        return verdict.isAmong;
+    const auto [entry, added] = cache_.try_emplace(key);
+    CachedResult &result = entry->second;
+    if (!added && result.count == count && now - result.at < cacheLifetime) {
+        return result.isAmong;
     }
-    verdict.count = count;
-    verdict.at = now;
-    const auto isFirst = [&](const Membership &membership) {
+    result.count = count;
+    result.at = now;
+    const auto ranksHighEnough = [&](const Membership &membership) {
         const std::optional<std::size_t> rank = rankIn(membership, key);
-        return isPast(membership.until, now) || (rank && *rank < count);
+        return isExpired(membership.until, now) || (rank && *rank < count);
     };
-    // Before it has settled, what a daemon knows may be the list of a fleet that is just starting.
-    verdict.isAmong = knownSince_ < now - settlingTime && std::all_of(memberships_.begin(), memberships_.end(), isFirst);
-    return verdict.isAmong;
+    // Within the settling time after the start, the list may be that of a fleet that is still starting.
+    result.isAmong = firstListAt_ < now - settlingTime && std::all_of(memberships_.begin(), memberships_.end(), ranksHighEnough);
+    return result.isAmong;
 }
 
 std::size_t StableOwner::rank(std::uint64_t key) const
--- a/src/portpaddle/fleet/stable_owner.h
+++ b/src/portpaddle/fleet/stable_owner.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Which daemons of a region may spend a bound that is too small to be divided among all of them.
+/// Ownership of limits that are too small to be divided among all daemons of a region.
 #pragma once
 
 #include "portpaddle/net/asio.h"
@@ -15,47 +15,47 @@
 
 namespace Portpaddle {
 
-/// Ranks the daemons known for each key by rendezvous hashing. Belongs to one event loop.
+/// Ranks the known daemons for each key by rendezvous hashing. Belongs to one event loop.
 class StableOwner
 {
 public:
     explicit StableOwner(std::string_view ownId);
 
-    /// The daemons of the region now, by the hashes of their ids.
+    /// Sets the current daemons of the region, given by the hashes of their ids.
     void setMembers(std::vector<std::uint64_t> members, SteadyTime now);
-    /// Whether this daemon was the owner of @p key by every list of daemons that was in force within the settling time.
+    /// Whether this daemon ranked first for @p key in every member list that was in use within the settling time.
     bool owns(std::uint64_t key, SteadyTime now);
-    /// Whether it was among the first @p count by every such list.
+    /// Whether this daemon was among the first @p count in every such list.
     bool isAmong(std::uint64_t key, unsigned count, SteadyTime now);
-    /// How many daemons stand before this one by the newest list.
+    /// Returns how many daemons rank before this one in the newest list; the size of the list if this one is not in it.
     std::size_t rank(std::uint64_t key) const;
-    /// Daemons on the newest list.
+    /// Returns the number of daemons in the newest list.
     std::size_t members() const;
 
 private:
     struct Membership
     {
         std::vector<std::uint64_t> members;
-        /// When another one replaced it; the newest is in force.
+        /// When a newer list replaced this one; SteadyTime::max() for the newest.
         SteadyTime until;
     };
 
-    struct Verdict
+    struct CachedResult
     {
         bool isAmong = false;
         unsigned count = 0;
         SteadyTime at;
     };
 
-    /// No value where this daemon is not on the list.
+    /// Returns the rank of this daemon; no value if the list does not contain it.
     std::optional<std::size_t> rankIn(const Membership &membership, std::uint64_t key) const;
 
-    std::uint64_t self_;
-    /// When the first list came.
-    SteadyTime knownSince_ = SteadyTime::max();
-    /// The newest last.
+    std::uint64_t ownHash_;
+    /// When the first list was set.
+    SteadyTime firstListAt_ = SteadyTime::max();
+    /// The lists that may still be in use, newest last.
     std::deque<Membership> memberships_;
-    std::unordered_map<std::uint64_t, Verdict> verdicts_;
+    std::unordered_map<std::uint64_t, CachedResult> cache_;
 };
 
 } // namespace Portpaddle
--- a/tests/gateway/load_aggregation_tests.cpp
+++ b/tests/gateway/load_aggregation_tests.cpp
@@ -274,15 +274,15 @@
     gatherers.setView(view);
     const std::string first = gatherers.of("north", 0, now)->id;
     // It sends sums, then others are reported to for a while: nothing is due from it.
-    gatherers.reported(first, now);
-    gatherers.heardSums(first, now + 100ms);
-    gatherers.reported(first, now + 10s);
+    gatherers.noteReportSent(first, now);
+    gatherers.noteSumsReceived(first, now + 100ms);
+    gatherers.noteReportSent(first, now + 10s);
     CHECK(gatherers.of("north", 0, now + 10s)->id == first);
     for (SteadyTime time = now + 10s; time < now + 12s; time += 100ms) {
-        gatherers.reported(first, time);
+        gatherers.noteReportSent(first, time);
     }
     CHECK(gatherers.of("north", 0, now + 12s)->id != first);
-    gatherers.heardSums(first, now + 13s);
+    gatherers.noteSumsReceived(first, now + 13s);
     CHECK(gatherers.of("north", 0, now + 13s)->id == first);
 }
 
