--- a/src/portpaddle/claims/claim_store.cpp
+++ b/src/portpaddle/claims/claim_store.cpp
@@ -20,30 +20,32 @@
 
 using namespace std::chrono_literals;
 
-// Claims are written under a lease that nobody renews: the platform forgets them by itself, without a collector.
+// Claims are written under a lease that is never renewed, so that the platform removes them without a garbage collector.
 constexpr Millis claimLifetime = 26h;
-constexpr std::size_t rememberedAbandoned = 10'000;
-/// Runs that a daemon can still tell of; about 6 MB.
-constexpr std::size_t rememberedRuns = 50'000;
-constexpr Millis leaseRenewal = 1h;
-/// A claim made at the end of a lease's hour still outlives the longest deadline by an hour.
-constexpr Millis sendWindow = 24h;
+constexpr std::size_t maxAbandonedClaims = 10'000;
+/// Number of calls that a daemon remembers as run; they take about 6 MB.
+constexpr std::size_t maxRecordedRuns = 50'000;
+/// Time for which one lease is used for new claims.
+constexpr Millis leaseUseTime = 1h;
+/// Time after the claim within which the call may be sent; the longest deadline. Even a claim that is written just before the
+/// lease is replaced exists for an hour longer than this.
+constexpr Millis maxSendDelay = 24h;
 
 std::string claimKey(const std::string &organisation, const std::string &service, const std::string &idempotencyKey)
 {
     return "portpaddle/claims/" + sha256Hex(fmt::format("{}\n{}\n{}", organisation, service, idempotencyKey));
 }
 
-std::string claimText(const Claim &claim, const std::string &daemon)
+std::string encodeClaim(const Claim &claim, const std::string &daemon)
 {
     return nlohmann::json{ { "claim_id", claim.claimId }, { "daemon", daemon } }.dump();
 }
 
-std::string claimIdIn(const std::string &record)
+std::string parseClaimId(const std::string &record)
 {
     const nlohmann::json json = nlohmann::json::parse(record, nullptr, false);
-    const bool named = json.is_object() && json.contains("claim_id") && json["claim_id"].is_string();
-    return named ? json["claim_id"].get<std::string>() : std::string{};
+    const bool hasClaimId = json.is_object() && json.contains("claim_id") && json["claim_id"].is_string();
+    return hasClaimId ? json["claim_id"].get<std::string>() : std::string{};
 }
 
 Error unavailable()
@@ -69,10 +71,10 @@
     Claim claim;
     claim.key = claimKey(organisation, service, idempotencyKey);
     claim.claimId = fmt::format("{}-{:016x}{:016x}", daemon_, random_.next(), random_.next());
-    claim.sendBefore = askedAt + sendWindow;
-    const Result<std::uint64_t> written = store_.put(claim.key, claimText(claim, daemon_), mustBeAbsent, valueOf(lease));
+    claim.sendBefore = askedAt + maxSendDelay;
+    const Result<std::uint64_t> written = store_.put(claim.key, encodeClaim(claim, daemon_), mustBeAbsent, valueOf(lease));
     if (!isOk(written)) {
-        return settle(std::move(claim), errorOf(written));
+        return resolveFailedWrite(std::move(claim), errorOf(written));
     }
     claim.revision = valueOf(written);
     return claim;
@@ -80,34 +82,35 @@
 
 void ClaimStore::release(const Claim &claim)
 {
-    // When this fails the key stays taken and repeats are refused as "may have run": safe, though not helpful.
+    // If the removal fails, the key stays claimed and retries are refused as "may have run": safe, though not helpful.
     store_.remove(claim.key, claim.revision);
 }
 
 void ClaimStore::markRan(const Claim &claim)
 {
-    // Kept here and asked for by peers: a second write would halve the calls that the platform has room for.
+    // Kept in memory and queried by other daemons, because a second write per call would halve the number of calls that the
+    // platform can handle.
     const std::lock_guard lock(mutex_);
-    if (ran_.insert(claim.key).second) {
-        ranOrder_.push_back(claim.key);
+    if (ranKeys_.insert(claim.key).second) {
+        ranKeyOrder_.push_back(claim.key);
     }
-    if (ranOrder_.size() > rememberedRuns) {
-        ran_.erase(ranOrder_.front());
-        ranOrder_.pop_front();
+    if (ranKeyOrder_.size() > maxRecordedRuns) {
+        ranKeys_.erase(ranKeyOrder_.front());
+        ranKeyOrder_.pop_front();
     }
 }
 
 bool ClaimStore::ranHere(const std::string &key) const
 {
     const std::lock_guard lock(mutex_);
-    return ran_.count(key) != 0;
+    return ranKeys_.count(key) != 0;
 }
 
 Result<std::uint64_t> ClaimStore::currentLease()
 {
     const std::lock_guard lock(mutex_);
     const Millis now = clock_.monotonic();
-    if (lease_ != 0 && now < leaseGrantedAt_ + leaseRenewal) {
+    if (lease_ != 0 && now < leaseGrantedAt_ + leaseUseTime) {
         return lease_;
     }
     const Result<LeaseGrant> granted = store_.grantLease(claimLifetime);
@@ -119,7 +122,7 @@
     return lease_;
 }
 
-Result<Claim> ClaimStore::settle(Claim claim, const Error &writeError)
+Result<Claim> ClaimStore::resolveFailedWrite(Claim claim, const Error &writeError)
 {
     if (writeError.code == ErrorCode::NotFound) {
         const std::lock_guard lock(mutex_);
@@ -132,11 +135,12 @@
     }
     const Result<std::optional<KeyValue>> stored = store_.get(claim.key);
     if (!isOk(stored) || !valueOf(stored)) {
-        // If the write arrives later it only makes repeats be refused: this daemon does not send without a proved claim.
+        // If the write takes effect later, its only effect is that retries are refused: this daemon does not send without a
+        // confirmed claim.
         abandon(claim);
         return unavailable();
     }
-    const std::string holder = claimIdIn(valueOf(stored)->value);
+    const std::string holder = parseClaimId(valueOf(stored)->value);
     if (holder == claim.claimId) {
         claim.revision = valueOf(stored)->revision;
         return claim;
@@ -144,15 +148,15 @@
     if (isAbandoned(holder)) {
         return replaceAbandoned(std::move(claim), *valueOf(stored));
     }
-    return duplicate(claim.key, valueOf(stored)->value);
+    return duplicateError(claim.key, valueOf(stored)->value);
 }
 
 Result<Claim> ClaimStore::replaceAbandoned(Claim claim, const KeyValue &stored)
 {
-    // The swap succeeds for one caller only, so that two repeats at once cannot both take the place.
+    // The compare-and-swap succeeds for one caller only, so that two concurrent retries cannot both acquire the claim.
     const Result<std::uint64_t> lease = currentLease();
     const Result<std::uint64_t> written
-        = isOk(lease) ? store_.put(claim.key, claimText(claim, daemon_), stored.revision, valueOf(lease)) : lease;
+        = isOk(lease) ? store_.put(claim.key, encodeClaim(claim, daemon_), stored.revision, valueOf(lease)) : lease;
     if (!isOk(written)) {
         abandon(claim);
         return unavailable();
@@ -164,25 +168,25 @@
 void ClaimStore::abandon(const Claim &claim)
 {
     const std::lock_guard lock(mutex_);
-    abandoned_.push_back(claim.claimId);
-    if (abandoned_.size() > rememberedAbandoned) {
-        abandoned_.pop_front();
+    abandonedClaims_.push_back(claim.claimId);
+    if (abandonedClaims_.size() > maxAbandonedClaims) {
+        abandonedClaims_.pop_front();
     }
 }
 
 bool ClaimStore::isAbandoned(const std::string &claimId) const
 {
     const std::lock_guard lock(mutex_);
-    return std::find(abandoned_.begin(), abandoned_.end(), claimId) != abandoned_.end();
+    return std::find(abandonedClaims_.begin(), abandonedClaims_.end(), claimId) != abandonedClaims_.end();
 }
 
-Error ClaimStore::duplicate(const std::string &key, const std::string &record) const
+Error ClaimStore::duplicateError(const std::string &key, const std::string &record) const
 {
     const nlohmann::json json = nlohmann::json::parse(record, nullptr, false);
-    const bool named = json.is_object() && json.contains("daemon") && json["daemon"].is_string();
-    const std::string holder = named ? json["daemon"].get<std::string>() : std::string{};
-    const bool ran = holder == daemon_ ? ranHere(key) : named && ranElsewhere_ && ranElsewhere_(holder, key);
-    return Error{ ErrorCode::DuplicateRequest, "a call with this Idempotency-Key was already taken",
+    const bool hasDaemon = json.is_object() && json.contains("daemon") && json["daemon"].is_string();
+    const std::string holder = hasDaemon ? json["daemon"].get<std::string>() : std::string{};
+    const bool ran = holder == daemon_ ? ranHere(key) : hasDaemon && ranElsewhere_ && ranElsewhere_(holder, key);
+    return Error{ ErrorCode::DuplicateRequest, "a call with this Idempotency-Key was already accepted",
                   ran ? RunState::Ran : RunState::MayHaveRun, std::nullopt };
 }
 
