--- a/src/portpaddle/claims/claim_store.cpp
+++ b/src/portpaddle/claims/claim_store.cpp
@@ -25,10 +25,8 @@
 constexpr std::size_t maxAbandonedClaims = 10'000;
 /// Number of calls that a daemon remembers as run; they take about 6 MB.
 constexpr std::size_t maxRecordedRuns = 50'000;
-/// Time for which one lease is used for new claims.
 constexpr Millis leaseUseTime = 1h;
-/// Time after the claim within which the call may be sent; the longest deadline. Even a claim that is written just before the
-/// lease is replaced exists for an hour longer than this.
+/// The longest deadline. A claim written at the end of its lease's use still outlives this time by an hour.
 constexpr Millis maxSendDelay = 24h;
 
 std::string claimKey(const std::string &organisation, const std::string &service, const std::string &idempotencyKey)
@@ -88,8 +86,7 @@
 
 void ClaimStore::markRan(const Claim &claim)
 {
-    // Kept in memory and queried by other daemons, because a second write per call would halve the number of calls that the
-    // platform can handle.
+    // Kept in memory and queried by other daemons: a second write would halve the calls that the platform can handle.
     const std::lock_guard lock(mutex_);
     if (ranKeys_.insert(claim.key).second) {
         ranKeyOrder_.push_back(claim.key);
@@ -135,8 +132,7 @@
     }
     const Result<std::optional<KeyValue>> stored = store_.get(claim.key);
     if (!isOk(stored) || !valueOf(stored)) {
-        // If the write takes effect later, its only effect is that retries are refused: this daemon does not send without a
-        // confirmed claim.
+        // A write that takes effect later only makes retries be refused: nothing is sent without a confirmed claim.
         abandon(claim);
         return unavailable();
     }
--- a/src/portpaddle/claims/claim_store.h
+++ b/src/portpaddle/claims/claim_store.h
@@ -1,8 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Claims for calls that must run at most once: one claim per idempotency key, written to the platform's store before the call is
-/// sent.
+/// Claims for at-most-once calls: one claim per idempotency key, written to the platform's store before the call is sent.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -44,14 +43,12 @@
     Result<Claim> acquire(const std::string &organisation, const std::string &service, const std::string &idempotencyKey);
     /// Releases a claim under which provably nothing was sent, so that the caller may try again.
     void release(const Claim &claim);
-    /// Records that the call under @p claim ran, so that duplicate requests are refused as already run. Only the most recent
-    /// calls are recorded, in memory.
+    /// Records that the call under @p claim ran, so that duplicates are refused as already run while this daemon runs.
     void markRan(const Claim &claim);
     /// Whether it is recorded that a call that this daemon claimed under @p key ran.
     bool ranHere(const std::string &key) const;
 
 private:
-    /// Returns the lease for new claims; grants a new one if the last is too old.
     Result<std::uint64_t> currentLease();
     /// Finds out whether @p claim was written despite @p writeError.
     Result<Claim> resolveFailedWrite(Claim claim, const Error &writeError);
--- a/src/portpaddle/dispatch/dispatcher.cpp
+++ b/src/portpaddle/dispatch/dispatcher.cpp
@@ -329,8 +329,7 @@
         return std::nullopt;
     }
 
-    /// Whether the call may be sent again after a broken attempt. A stream is resumed at its next token; any other call is only
-    /// repeated while no part of its answer has reached the caller.
+    /// A broken stream may be resumed at its next token; any other call only while none of its answer has reached the caller.
     bool mayRetry() const
     {
         if (call_.atMostOnce) {
--- a/src/portpaddle/dispatch/retry_budget.h
+++ b/src/portpaddle/dispatch/retry_budget.h
@@ -12,7 +12,6 @@
 class RetryBudget
 {
 public:
-    /// Adds @p percent of a retry.
     void addCredit(double percent);
     /// Takes one retry. Returns false if less than one is left; the request then has to fail.
     bool takeRetry();
--- a/src/portpaddle/dispatch/trace_ring.h
+++ b/src/portpaddle/dispatch/trace_ring.h
@@ -45,7 +45,6 @@
 public:
     explicit TraceRing(std::size_t capacity = 2048);
     void add(RequestTrace trace);
-    /// Returns null if no trace of the request is kept.
     std::shared_ptr<const RequestTrace> find(const std::string &requestId) const;
 
 private:
--- a/src/portpaddle/dispatch/wait_queue.h
+++ b/src/portpaddle/dispatch/wait_queue.h
@@ -1,8 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Queue of the requests that wait for a free upstream, ordered by request class, then by age. Deferrable requests that have
-/// waited long enough count as interactive.
+/// Queue of requests that wait for a free upstream: interactive before deferrable, older before younger, with aging.
 #pragma once
 
 #include "portpaddle/settings/compiled.h"
--- a/src/portpaddle/fleet/aggregators.cpp
+++ b/src/portpaddle/fleet/aggregators.cpp
@@ -11,8 +11,7 @@
 
 namespace {
 
-// Sums arrive ten times a second. An aggregator that sends none for this time has failed, is partitioned, or does not know that
-// it was selected.
+// Sums arrive ten times a second. A silent aggregator has failed, is partitioned, or does not know that it was selected.
 constexpr std::chrono::milliseconds maxSilence{ 1'000 };
 // Long enough for this daemon to hear of an aggregator that has recovered.
 constexpr std::chrono::milliseconds avoidTime{ 5'000 };
--- a/src/portpaddle/fleet/aggregators.h
+++ b/src/portpaddle/fleet/aggregators.h
@@ -16,8 +16,7 @@
 
 namespace Portpaddle {
 
-/// Selects an aggregator for each shard of each region: the highest ranked daemon that is neither silent nor avoided.
-/// Belongs to one event loop.
+/// Selects the highest ranked responsive daemon as aggregator of each shard of each region. Belongs to one event loop.
 class Aggregators
 {
 public:
--- a/src/portpaddle/fleet/feed_server.h
+++ b/src/portpaddle/fleet/feed_server.h
@@ -17,8 +17,7 @@
 /// Paths that a daemon serves on its link address: the whole state that it knows, and the changes since a revision.
 inline constexpr const char *statePath = "/portpaddle/state";
 inline constexpr const char *changesPath = "/portpaddle/changes";
-/// Maximum time for which a request for changes waits for one. By the next request the client notices whether this daemon is
-/// healthy.
+/// How long a request for changes waits for one. By its next request the client notices whether this daemon is healthy.
 inline constexpr std::chrono::milliseconds maxFeedWait{ 1'000 };
 /// The state that a daemon knows is relied on while the store has confirmed it within this time: the daemon asks the store every
 /// 1.2 s, and changes must take effect within a few seconds.
--- a/src/portpaddle/fleet/load_aggregation.h
+++ b/src/portpaddle/fleet/load_aggregation.h
@@ -31,8 +31,7 @@
 /// Maximum number of parts from another region that one digest relays.
 inline constexpr std::size_t maxRelayedParts = 8;
 
-/// Builds outgoing load digests and applies incoming ones. The outgoing digests depend only on the fleet view, the loads and the
-/// turn number. Belongs to one event loop.
+/// Exchanges load digests. What is sent depends only on fleet view, loads and turn number. Belongs to one event loop.
 class LoadAggregation
 {
 public:
@@ -57,7 +56,6 @@
         std::vector<Wire::PlacedPart> placed;
         std::vector<Wire::MemberNews> members;
         SteadyTime at{};
-        /// Whether the data is still to be relayed.
         bool isUnsent = false;
     };
 
@@ -70,8 +68,7 @@
                            std::vector<OutgoingDigest> &out);
     void addRegionDigests(unsigned shard, Wire::LoadDigestT digest, const std::function<void(Wire::LoadDigestT &)> &addWaits,
                           SteadyTime now, std::vector<OutgoingDigest> &out);
-    /// Returns the state of the next members of the own region, this daemon and those that it heard directly, and advances
-    /// @p cursor.
+    /// Returns the next members of the own region, this daemon and those that it heard directly; advances @p cursor.
     std::vector<Wire::MemberNews> nextMembers(std::size_t &cursor, Wire::DaemonPhase ownPhase, SteadyTime now) const;
 
     std::string ownId_;
--- a/src/portpaddle/fleet/record_writer.h
+++ b/src/portpaddle/fleet/record_writer.h
@@ -33,8 +33,7 @@
     ~RecordWriter();
 
     void start();
-    /// Queues @p record, which is written as soon as the store accepts it unless a newer one for its key replaces it. If the
-    /// queue is full, a record with a new key is dropped. Does not block; thread-safe.
+    /// Queues @p record, replacing one with the same key; a full queue drops new keys. Does not block. Thread-safe.
     void write(LeasedRecord record);
 
 private:
--- a/src/portpaddle/routing/decision.cpp
+++ b/src/portpaddle/routing/decision.cpp
@@ -34,7 +34,6 @@
 constexpr double engineQueueAllowance = 0.125;
 /// Remote summaries that are older than this are ignored.
 constexpr Millis maxSummaryAge{ 15'000 };
-/// Expected processing time of a request to a service that is not a model.
 constexpr double plainServiceMs = 20;
 /// Weight of latency for deferrable requests relative to interactive ones.
 constexpr double deferrableLatencyFactor = 0.2;
@@ -212,9 +211,8 @@
         }
     }
 
-    /// Whether a request fits into this daemon's share of the @p free slots of a local engine; always true for a request
-    /// that is not deferrable. All local daemons act on the same report: without shares, deferrable requests of all of them would
-    /// fill the slots reserved for interactive requests between two reports.
+    /// Whether a request fits into this daemon's share of the @p free local slots. Only deferrable requests are limited: without
+    /// shares, all daemons acting on one report would overrun the slots that are reserved for interactive requests.
     bool fitsLocalShare(double free, double own)
     {
         return !isDeferrable_ || fitsShare(free / std::max(1U, snapshot_.localDaemons), own);
@@ -237,8 +235,7 @@
         return fitsShare(free / countCompetingSenders(target), own);
     }
 
-    /// Number of daemons that may be sending to @p target now: the local ones, and those of other data centres that are
-    /// nearly full.
+    /// Number of daemons that may be sending to @p target now: local ones, and those of other, nearly full data centres.
     unsigned countCompetingSenders(const RemoteView &target) const
     {
         unsigned senders = std::max(1U, snapshot_.localDaemons);
@@ -296,14 +293,12 @@
         if (bestLocal_) {
             return remote < decision_.candidates[*bestLocal_].score;
         }
-        // Full local engines count as well: a cold cache and a slow link are not worth it while the local engines are merely
-        // busy.
+        // Full local engines count: a cold cache and a slow link are not worth it while those are merely busy.
         const bool hasFullLocalEngine = std::isfinite(bestFullScore_);
         return !hasFullLocalEngine || remote < bestFullScore_;
     }
 
-    /// Whether a deferrable request should wait for a full engine that holds its prefix instead of computing the prefix again
-    /// on another engine.
+    /// Whether to wait for a full engine that holds the prefix rather than compute the prefix again on another engine.
     bool prefersWaiting() const
     {
         return isDeferrable_ && bestFullScore_ + latencyWeight() * typicalReportWaitMs < decision_.candidates[*bestLocal_].score;
@@ -359,16 +354,14 @@
         return policy_.latencyWeight * (policy_.requestClass == RequestClass::Interactive ? 1 : deferrableLatencyFactor);
     }
 
-    /// Expected time for which a request occupies a slot. The slots are occupied by other requests, so the estimate assumes an
-    /// answer of typical length rather than the length of this request's answer.
+    /// Expected time for which a request holds a slot; assumes typical answers, because other requests hold the slots now.
     double turnoverMs() const
     {
         return isModel_ ? policy_.tokenMs * typicalAnswerTokens : plainServiceMs;
     }
 
-    /// Expected number of requests beyond the slots, as a softplus of @p excess. Reports lag behind, and an engine that is
-    /// nearly full may be full by now: the expectation therefore rises smoothly before the slots run out, over a width of
-    /// about one slot and less on small engines.
+    /// Expected number of requests beyond the slots. Reports lag behind, and an engine that is nearly full may be full by now:
+    /// the softplus rises smoothly before the slots run out, over about one slot, and over less on small engines.
     static double expectedExcess(double excess, double slots)
     {
         constexpr double linearAbove = 20;
--- a/src/portpaddle/routing/decision.h
+++ b/src/portpaddle/routing/decision.h
@@ -17,8 +17,7 @@
 
 class RandomSource;
 
-/// A deferrable request gains priority while it waits and is treated as an interactive one after this time, which prevents
-/// starvation.
+/// A waiting deferrable request gains priority and counts as an interactive one after this time, so that it does not starve.
 inline constexpr Millis deferrableAging{ 60'000 };
 
 /// The properties of a request that a decision depends on. They never include the content of the request.
--- a/src/portpaddle/routing/rendezvous.h
+++ b/src/portpaddle/routing/rendezvous.h
@@ -11,8 +11,7 @@
 
 /// Returns a hash of @p text that is the same in all versions of the program.
 std::uint64_t stableHash(std::string_view text);
-/// Returns the score of @p member for @p key; the member with the greatest score is ranked first. Scores are at most zero, and
-/// negative infinity for a weight of zero or less.
+/// Returns the score of a member for a key; the member with the greatest score ranks first. Scores are at most zero.
 double rendezvousScore(std::uint64_t key, std::uint64_t member, double weight);
 
 } // namespace Portpaddle
--- a/src/portpaddle/routing/upstream_table.cpp
+++ b/src/portpaddle/routing/upstream_table.cpp
@@ -16,10 +16,8 @@
 constexpr Millis maxEjectionTime{ 30'000 };
 /// After an ejection or an outage, the share of the slots that may be used grows linearly to all of them over this time.
 constexpr Millis slowStartTime{ 10'000 };
-/// Share of the slots that may be used at the beginning of the slow start.
 constexpr double minAdmittedShare = 0.1;
-/// After this time without a report, one with a lower sequence number is accepted as well, because the upstream or its observer
-/// may have been restarted.
+/// A lower sequence number is accepted after this time without a report: the upstream or its observer may have restarted.
 constexpr Millis sequenceResetTime{ 10'000 };
 
 double admittedShare(const UpstreamState &state, Millis now)
