--- a/src/portpaddle/dispatch/trace_ring.cpp
+++ b/src/portpaddle/dispatch/trace_ring.cpp
@@ -36,7 +36,7 @@
     json["prefill_ms"] = outcome.prefillMs;
     json["score"] = outcome.score;
     const RequestPolicy &policy = snapshot.settings->policy(trace.organisation, trace.service);
-    const SettingOrigin *origin = policy.originOf(settingBehind(outcome.reason));
+    const SettingOrigin *origin = policy.originOf(settingKeyOf(outcome.reason));
     if (origin != nullptr) {
         json["because_of"] = describeOrigin(*origin);
     }
@@ -73,7 +73,7 @@
 {
 }
 
-void TraceRing::keep(RequestTrace trace)
+void TraceRing::add(RequestTrace trace)
 {
     const std::lock_guard lock(mutex_);
     const std::string id = trace.requestId;
--- a/src/portpaddle/dispatch/wait_queue.h
+++ b/src/portpaddle/dispatch/wait_queue.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Requests that wait for a free upstream: interactive before deferrable, older before younger, with aging.
+/// Queue of requests that wait for a free upstream: interactive before deferrable, older before younger, with aging.
 #pragma once
 
 #include "portpaddle/settings/compiled.h"
@@ -12,17 +12,17 @@
 
 namespace Portpaddle {
 
-/// Wakes the most urgent waiter when capacity may have become free.
+/// Blocks waiting requests and wakes the most urgent one when capacity may have become free. Thread-safe.
 class WaitQueue
 {
 public:
     explicit WaitQueue(std::size_t capacity = 4096);
 
-    /// Waits until woken or for at most @p longest. False when the queue is full.
-    bool wait(RequestClass requestClass, Millis arrivedAt, Millis longest);
-    /// Capacity became free: wakes the most urgent waiter.
+    /// Waits until woken or for at most @p timeout. Returns false at once if the queue is full.
+    bool wait(RequestClass requestClass, Millis arrivedAt, Millis timeout);
+    /// Wakes the most urgent waiter, after capacity has become free.
     void wakeOne(Millis now);
-    /// Something changed for all, such as the settings.
+    /// Wakes all waiters, after a change that affects all of them, such as one of the settings.
     void wakeAll();
     std::size_t waiting() const;
 
@@ -35,7 +35,7 @@
         std::condition_variable wake;
     };
 
-    static bool moreUrgent(const Waiter &left, const Waiter &right, Millis now);
+    static bool isMoreUrgent(const Waiter &left, const Waiter &right, Millis now);
 
     const std::size_t capacity_;
     mutable std::mutex mutex_;
