--- a/src/portpaddle/gateway/cold_gate.cpp
+++ b/src/portpaddle/gateway/cold_gate.cpp
@@ -9,38 +9,39 @@
 
 namespace {
 
-// A second as the bound counts it, and some more for requests that were slow on their way.
+// The second over which the bound is counted, plus a margin for requests that were delayed on their way.
 constexpr std::chrono::milliseconds window{ 1'150 };
-// Owners settle before they send, so that two overlap only where one is cut off from news and goes on for as long as it is.
+// A new owner waits before it sends, so that two owners overlap only where one of them receives no digests, and for as long as
+// that lasts.
 constexpr double ownersAtOnce = 2;
 
 } // namespace
 
-void ColdGate::setOptions(const ColdTerms &terms)
+void ColdGate::setOptions(const ColdGateOptions &options)
 {
-    terms_ = terms;
+    options_ = options;
 }
 
-double ColdGate::shareOf(double perSecond, bool owner) const
+double ColdGate::allowedSends(double perSecond, bool owner) const
 {
-    const double bound = perSecond * terms_.overshoot + terms_.slack;
-    const double equalShare = std::floor(bound / terms_.daemons);
+    const double bound = perSecond * options_.overshoot + options_.slack;
+    const double equalShare = std::floor(bound / options_.daemons);
     if (equalShare >= 1) {
         return equalShare;
     }
-    // Daemons that count a few more or less than others must not send by different rules at once.
-    const bool manyDaemons = terms_.daemons >= 2 * bound;
+    // Daemons whose counts differ by a few must not apply different rules at the same time.
+    const bool manyDaemons = options_.daemons >= 2 * bound;
     return owner && manyDaemons ? std::floor(bound / ownersAtOnce) : 0;
 }
 
 bool ColdGate::allows(const std::string &upstream, double perSecond, bool owner, SteadyTime now)
 {
     // A daemon that restarts within a second has spent its share already, and so have all others that lost power with it; before
-    // they are on the list each of them would divide by itself alone.
-    if (!terms_.listedSince || now < *terms_.listedSince + window) {
+    // they are listed each of them would divide the bound by itself alone.
+    if (!options_.listedSince || now < *options_.listedSince + window) {
         return false;
     }
-    const double share = shareOf(perSecond, owner);
+    const double share = allowedSends(perSecond, owner);
     std::deque<SteadyTime> &times = sends_[upstream];
     while (!times.empty() && times.front() + window < now) {
         times.pop_front();
--- a/src/portpaddle/gateway/cold_gate.h
+++ b/src/portpaddle/gateway/cold_gate.h
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Bounds the requests that one daemon sends to a cold upstream, so that all daemons together stay within what it bears.
+/// Limits the requests that one daemon sends to a cold upstream, so that all daemons together stay within the rate that it
+/// sustains.
 #pragma once
 
 #include "portpaddle/net/asio.h"
@@ -13,36 +14,36 @@
 
 namespace Portpaddle {
 
-/// Bounds of the whole system on one cold upstream.
-struct ColdTerms
+/// Bounds of the whole system for one cold upstream.
+struct ColdGateOptions
 {
-    /// Times the rate that the upstream bears.
+    /// Allowed multiple of the rate that the upstream sustains.
     double overshoot = 1;
-    /// Requests a second besides.
+    /// Requests a second allowed in addition.
     double slack = 0;
-    /// Daemons that may send to it at the same time.
+    /// Daemons that may send to the upstream at the same time.
     unsigned daemons = 1;
-    /// Since when the others can know that this process is one of them; no value where they cannot.
+    /// Since when other daemons can know that this process is one of them; no value where they cannot.
     std::optional<SteadyTime> listedSince;
 };
 
-/// Counts sends in the last second. Belongs to one event loop.
+/// Counts the requests of the last second. Must only be used from one event loop.
 class ColdGate
 {
 public:
-    void setOptions(const ColdTerms &terms);
-    /// Whether one more request may be sent now to @p upstream, which bears @p perSecond. Only the @p owner of an upstream sends
-    /// where the bound is too small to be divided among all daemons.
+    void setOptions(const ColdGateOptions &options);
+    /// Returns whether one more request may be sent now to @p upstream, which sustains @p perSecond. Where the bound is too small
+    /// to be divided among all daemons, only the @p owner of an upstream sends.
     bool allows(const std::string &upstream, double perSecond, bool owner, SteadyTime now);
-    /// Takes one of the sends; call when the upstream is chosen, before the connection is there.
+    /// Counts one request; call when the upstream is chosen, before the connection is open.
     void take(const std::string &upstream, SteadyTime now);
     void forget(const std::string &upstream);
 
 private:
-    /// What this daemon may send in a second.
-    double shareOf(double perSecond, bool owner) const;
+    /// Returns the number of requests that this daemon may send in a second.
+    double allowedSends(double perSecond, bool owner) const;
 
-    ColdTerms terms_;
+    ColdGateOptions options_;
     std::unordered_map<std::string, std::deque<SteadyTime>> sends_;
 };
 
--- a/src/portpaddle/gateway/entry_choice.cpp
+++ b/src/portpaddle/gateway/entry_choice.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// How well a daemon suits the caller; the best tier that has any is used. A stopping daemon of the caller's region still goes
-/// before other regions: during a rolling restart of a small region it is the only one left for a moment.
+/// How well a daemon suits the caller; the best tier that is not empty is used. A stopping daemon of the caller's region still
+/// precedes other regions: during a rolling restart of a small region it is the only one left for a moment.
 enum class Tier { DataCentre, Region, StoppingInRegion, Elsewhere, None };
 
 Tier tierOf(const DaemonRecord &daemon, Wire::DaemonPhase phase, const CallerPlace &place)
@@ -31,8 +31,8 @@
     return daemon.dataCentre == place.dataCentre ? Tier::DataCentre : Tier::Region;
 }
 
-/// Cuts @p daemons to as many as an answer names. Callers of each data centre get others, and the same ones each time: they keep
-/// only connections to daemons that are named again.
+/// Limits @p daemons to the number that an answer names. Callers of each data centre get a different subset, and the same one
+/// each time: callers keep only connections to daemons that are named again.
 std::vector<std::string> someEntries(std::vector<const DaemonRecord *> daemons, const CallerPlace &place)
 {
     if (daemons.size() > maxEntries) {
--- a/src/portpaddle/gateway/entry_choice.h
+++ b/src/portpaddle/gateway/entry_choice.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Which daemons a caller should use.
+/// Selects the daemons that a caller should use.
 #pragma once
 
 #include "portpaddle/net/asio.h"
@@ -13,17 +13,17 @@
 
 class Gateway;
 
-/// Where a caller is.
+/// The location of a caller.
 struct CallerPlace
 {
     std::string region;
     std::string dataCentre;
 };
 
-/// Most addresses that one answer names.
+/// Maximum number of addresses in one answer.
 inline constexpr std::size_t maxEntries = 64;
 
-/// Entry addresses for a caller, of its own data centre if any daemon lives there, else of its region, else of all.
+/// Returns entry addresses for a caller: of daemons in its own data centre if there are any, else in its region, else of all.
 std::vector<std::string> entriesFor(const CallerPlace &place, const Gateway &gateway, SteadyTime now);
 
 } // namespace Portpaddle
--- a/src/portpaddle/gateway/exchange.cpp
+++ b/src/portpaddle/gateway/exchange.cpp
@@ -38,7 +38,7 @@
     , silenceTimer_(gateway.executor_)
     , move_(gateway.executor_, gateway.pool_,
             [&gateway](const UpstreamRecord &asked, const boost::beast::http::response_header<> &head) {
-                gateway.answeredOrder(asked, head);
+                gateway.noteOrderAnswer(asked, head);
             })
     , continuation_(request_.continuation)
     , sends_(request_.earlierSends)
@@ -187,7 +187,7 @@
 
 Millis Exchange::heldBackReturn()
 {
-    const auto back = std::chrono::duration_cast<Millis>(gateway_.returnIn(service_, BootClock::now()));
+    const auto back = std::chrono::duration_cast<Millis>(gateway_.suggestedRetryDelay(service_, BootClock::now()));
     return std::clamp(back, shortestReturn, longestKnownReturn);
 }
 
@@ -315,7 +315,7 @@
     if (reason != ExclusionReason::UpstreamLimit && reason != ExclusionReason::BackingOff) {
         return true;
     }
-    const std::optional<SteadyTime::duration> room = gateway_.roomIn(service_, BootClock::now());
+    const std::optional<SteadyTime::duration> room = gateway_.timeUntilRoom(service_, BootClock::now());
     return room && *room <= waitLeft();
 }
 
@@ -326,7 +326,7 @@
     }
     tried_.clear();
     NetError ignored;
-    std::size_t &waiting = gateway_.waitingForTurn_[service_];
+    std::size_t &waiting = gateway_.waitingRequests_[service_];
     ++waiting;
     roomTimer_.expires_after(roomPoll);
     co_await roomTimer_.async_wait(awaitingInto(ignored));
--- a/src/portpaddle/gateway/exchange_attempt.cpp
+++ b/src/portpaddle/gateway/exchange_attempt.cpp
@@ -90,7 +90,7 @@
         ticket = gateway_.loads_.sent(*target.upstream, *target.spec, request_.prompt, target.placement, BootClock::now());
     };
     events.answered
-        = [this, &target, &ticket](const AnswerNotice &notice) { gateway_.answered(*target.upstream, notice, ticket.sentAt); };
+        = [this, &target, &ticket](const AnswerNotice &notice) { gateway_.noteAnswer(*target.upstream, notice, ticket.sentAt); };
     events.firstEvent = [this, &ticket] {
         noteFirstEvent();
         const double took = static_cast<double>(elapsedSince(ticket.sentAt).count());
--- a/src/portpaddle/gateway/exchange_endings.cpp
+++ b/src/portpaddle/gateway/exchange_endings.cpp
@@ -61,7 +61,7 @@
     if (report.error.retryAfter) {
         return *report.error.retryAfter;
     }
-    return gateway_.holdsBackAll(service_, BootClock::now()) ? heldBackReturn() : suggestedReturn();
+    return gateway_.allBackingOff(service_, BootClock::now()) ? heldBackReturn() : suggestedReturn();
 }
 
 /// The request has not run and will not.
--- a/src/portpaddle/gateway/fleet_registry.cpp
+++ b/src/portpaddle/gateway/fleet_registry.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Upstreams that lapsed while the store was away register again within about two seconds of its return.
-constexpr std::chrono::milliseconds lapseGrace{ 2'300 };
+// Upstreams whose lease expired during an outage of the store register again within about two seconds of its return.
+constexpr std::chrono::milliseconds expiryGrace{ 2'300 };
 
 } // namespace
 
@@ -27,7 +27,7 @@
 {
     const std::lock_guard lock(mutex_);
     inBatch_ = false;
-    if (unpublished_) {
+    if (publishPending_) {
         publish();
     }
 }
@@ -46,17 +46,17 @@
 std::optional<SteadyTime> FleetRegistry::graceFor(SteadyTime now) const
 {
     if (!storeReachable_ && everReachable_) {
-        return now + lapseGrace;
+        return now + expiryGrace;
     }
-    return now < settledAt_ ? std::optional(settledAt_) : std::nullopt;
+    return now < graceUntil_ ? std::optional(graceUntil_) : std::nullopt;
 }
 
 void FleetRegistry::storeUpstream(UpstreamRecord record)
 {
     const auto known = upstreams_.find(record.registeredName);
-    const bool sameLife = known != upstreams_.end() && known->second.record.id == record.id;
-    if (sameLife) {
-        // Leaving is final for one life: an older record that arrives late must not undo it.
+    const bool sameIncarnation = known != upstreams_.end() && known->second.record.id == record.id;
+    if (sameIncarnation) {
+        // Leaving is final for one incarnation: an older record that arrives late must not undo it.
         record.leaving = record.leaving || known->second.record.leaving;
         // The first announcement counts: a repeated one would move the end into the future.
         record.goneAt = known->second.record.goneAt ? known->second.record.goneAt : record.goneAt;
@@ -66,42 +66,43 @@
         record.leavingSince = BootClock::now();
     }
     const std::string name = record.registeredName;
-    upstreams_[name] = Held<UpstreamRecord>{ std::move(record), std::nullopt };
+    upstreams_[name] = Entry<UpstreamRecord>{ std::move(record), std::nullopt };
 }
 
 template<typename Record>
-bool FleetRegistry::drop(std::map<std::string, Held<Record>> &held, const std::string &id, SteadyTime now)
+bool FleetRegistry::drop(std::map<std::string, Entry<Record>> &entries, const std::string &id, SteadyTime now)
 {
-    const auto found = held.find(id);
-    if (found == held.end()) {
+    const auto found = entries.find(id);
+    if (found == entries.end()) {
         return false;
     }
     const std::optional<SteadyTime> grace = graceFor(now);
     if (grace) {
-        found->second.lapsesAt = found->second.lapsesAt.value_or(*grace);
+        found->second.expiresAt = found->second.expiresAt.value_or(*grace);
         return false;
     }
-    held.erase(found);
+    entries.erase(found);
     return true;
 }
 
 template<typename Record>
-bool FleetRegistry::dropLapsed(std::map<std::string, Held<Record>> &held, SteadyTime now)
+bool FleetRegistry::dropExpired(std::map<std::string, Entry<Record>> &entries, SteadyTime now)
 {
-    return std::erase_if(held, [now](const auto &item) { return item.second.lapsesAt && *item.second.lapsesAt <= now; }) > 0;
+    return std::erase_if(entries, [now](const auto &item) { return item.second.expiresAt && *item.second.expiresAt <= now; }) > 0;
 }
 
 template<typename Record>
-void FleetRegistry::dropUnlisted(std::map<std::string, Held<Record>> &held, const std::set<std::string> &listed, SteadyTime now)
+void FleetRegistry::dropUnlisted(std::map<std::string, Entry<Record>> &entries, const std::set<std::string> &listed,
+                                 SteadyTime now)
 {
     std::vector<std::string> missing;
-    for (const auto &[id, record] : held) {
+    for (const auto &[id, record] : entries) {
         if (!listed.contains(id)) {
             missing.push_back(id);
         }
     }
     for (const std::string &id : missing) {
-        drop(held, id, now);
+        drop(entries, id, now);
     }
 }
 
@@ -165,7 +166,7 @@
     for (DaemonRecord &daemon : daemons) {
         listed.insert(daemon.id);
         const std::string id = daemon.id;
-        daemons_[id] = Held<DaemonRecord>{ std::move(daemon), std::nullopt };
+        daemons_[id] = Entry<DaemonRecord>{ std::move(daemon), std::nullopt };
     }
     dropUnlisted(daemons_, listed, now);
     publish();
@@ -175,7 +176,7 @@
 {
     const std::lock_guard lock(mutex_);
     const std::string id = daemon.id;
-    daemons_[id] = Held<DaemonRecord>{ std::move(daemon), std::nullopt };
+    daemons_[id] = Entry<DaemonRecord>{ std::move(daemon), std::nullopt };
     publish();
 }
 
@@ -192,16 +193,16 @@
     const std::lock_guard lock(mutex_);
     std::erase_if(quarantined_, [&requests](const auto &item) { return !requests.contains(item.first); });
     for (const RequestFingerprint &request : requests) {
-        // A listing does not tell how old a record is: taken as old enough to be renewed when the request comes.
+        // A listing does not contain the age of a record: it is taken as old enough to be renewed when the request comes.
         quarantined_.emplace(request, now - quarantineTime / 2);
     }
     publish();
 }
 
-void FleetRegistry::changeQuarantine(const RequestFingerprint &request, bool held, SteadyTime now)
+void FleetRegistry::changeQuarantine(const RequestFingerprint &request, bool isQuarantined, SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
-    if (held) {
+    if (isQuarantined) {
         quarantined_[request] = now;
     } else {
         quarantined_.erase(request);
@@ -242,8 +243,8 @@
     if (storeReachable_) {
         return;
     }
-    // At the first contact nothing can have lapsed that this daemon knew.
-    settledAt_ = everReachable_ ? now + lapseGrace : now;
+    // At the first contact no record that this daemon knew can have expired.
+    graceUntil_ = everReachable_ ? now + expiryGrace : now;
     storeReachable_ = true;
     everReachable_ = true;
     publish();
@@ -255,8 +256,8 @@
     if (!storeReachable_) {
         return;
     }
-    const bool upstreams = dropLapsed(upstreams_, now);
-    const bool daemons = dropLapsed(daemons_, now);
+    const bool upstreams = dropExpired(upstreams_, now);
+    const bool daemons = dropExpired(daemons_, now);
     if (upstreams || daemons) {
         publish();
     }
@@ -266,23 +267,23 @@
 {
     const std::lock_guard lock(mutex_);
     const auto found = daemons_.find(id);
-    return found != daemons_.end() && !found->second.lapsesAt;
+    return found != daemons_.end() && !found->second.expiresAt;
 }
 
-// A view is a copy of all records: a restart of half of the daemons must not make one for each of them.
+// A view is a copy of all records: a restart of half of the daemons must not create one for each of them.
 void FleetRegistry::publish()
 {
-    unpublished_ = inBatch_;
+    publishPending_ = inBatch_;
     if (inBatch_) {
         return;
     }
     auto view = std::make_shared<FleetView>();
     view->services = services_;
-    for (const auto &[name, held] : upstreams_) {
-        view->upstreams.emplace(held.record.id, held.record);
+    for (const auto &[name, entry] : upstreams_) {
+        view->upstreams.emplace(entry.record.id, entry.record);
     }
-    for (const auto &[id, held] : daemons_) {
-        view->daemons.push_back(held.record);
+    for (const auto &[id, entry] : daemons_) {
+        view->daemons.push_back(entry.record);
     }
     view->evacuated = evacuated_;
     view->quarantined = quarantined_;
--- a/src/portpaddle/gateway/fleet_view.h
+++ b/src/portpaddle/gateway/fleet_view.h
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What the platform's store tells a daemon: configuration, upstreams, daemons. Published as a whole, never changed afterwards.
+/// A snapshot of what a daemon knows from the platform's store: configuration, upstreams and daemons. Published as a whole and
+/// never changed afterwards.
 #pragma once
 
 #include "portpaddle/crashes/quarantine.h"
@@ -18,12 +19,12 @@
 
 namespace Portpaddle {
 
-/// One life of an upstream as it registered itself.
+/// One incarnation of an upstream as it registered itself.
 struct UpstreamRecord
 {
-    /// Names this life; a restarted upstream has another, also where it registers under the name that it had.
+    /// Identifies the incarnation; a restarted upstream gets another id, even if it registers under the same name.
     std::string id;
-    /// The name under which it registered and answers.
+    /// The name under which the upstream registered and answers.
     std::string registeredName;
     std::string service;
     /// IP:PORT.
@@ -31,13 +32,13 @@
     std::string dataCentre;
     std::string region;
     unsigned slots = 1;
-    /// It takes no new requests; sticky for this life.
+    /// The upstream takes no new requests; final for this incarnation.
     bool leaving = false;
-    /// When this daemon heard that it leaves.
+    /// When this daemon learned that the upstream is leaving.
     std::optional<SteadyTime> leavingSince;
-    /// When it will be gone whatever it runs; set where the platform announced it.
+    /// When the upstream will end regardless of its requests; set where the platform announced it.
     std::optional<SteadyTime> goneAt;
-    /// Until then it bears few requests a second.
+    /// Until then the upstream sustains few requests a second.
     SteadyTime coldUntil{};
 };
 
@@ -47,30 +48,30 @@
     std::string id;
     std::string region;
     std::string dataCentre;
-    /// Where callers reach it.
+    /// Address for callers.
     std::string entryAddress;
-    /// Where other daemons reach it, TCP and UDP.
+    /// Address for other daemons, TCP and UDP.
     std::string linkAddress;
     bool leaving = false;
-    /// Cores that it may use; zero where it did not say.
+    /// Cores that the daemon may use; zero where it did not report them.
     double cpuCores = 0;
 };
 
-/// Everything at one moment.
+/// The state of the fleet at one moment.
 struct FleetView
 {
     /// Null until a configuration is known.
     std::shared_ptr<const ServiceMap> services;
     std::unordered_map<std::string, UpstreamRecord> upstreams;
-    /// Data centres whose upstreams receive nothing for now.
+    /// Data centres whose upstreams receive no requests for now.
     std::set<std::string> evacuated;
     std::vector<DaemonRecord> daemons;
-    /// Requests that are not to be sent to upstreams.
+    /// Requests that must not be sent to upstreams.
     QuarantinedRequests quarantined;
     StoredLimits upstreamLimits;
     bool storeReachable = false;
 
-    /// Whether new requests may be sent to @p upstream.
+    /// Returns whether new requests may be sent to @p upstream.
     bool takesRequests(const UpstreamRecord &upstream) const
     {
         return !upstream.leaving && !evacuated.contains(upstream.dataCentre);
--- a/src/portpaddle/gateway/gateway.cpp
+++ b/src/portpaddle/gateway/gateway.cpp
@@ -17,7 +17,7 @@
     : executor_(executor)
     , identity_(std::move(identity))
     , names_(std::move(names))
-    , cell_(view)
+    , viewCell_(view)
     , view_(view.read())
     , random_(random)
     , metrics_(metrics)
@@ -86,32 +86,32 @@
     bodyBytes_ -= bytes;
 }
 
-void Gateway::setOptions(const GatewayOptions &terms)
+void Gateway::setOptions(const GatewayOptions &options)
 {
-    options_ = terms;
-    organisationLimits_.setTolerance(terms.limitTolerance);
-    retryMembers_.setSettling(terms.listSettling);
-    shareRetries(BootClock::now());
+    options_ = options;
+    organisationLimits_.setTolerance(options.limitTolerance);
+    retryMembers_.setSettling(options.listSettling);
+    updateRetryBudget(BootClock::now());
 }
 
-/// Divided by data centre first: how many of them there are is known from the start, and the daemons of one are seldom cut off
-/// from each other, so that a daemon which knows its own data centre alone does not spend the parts of the others.
+/// Divides by data centre first: their number is known from the start, and the daemons of one data centre are seldom cut off from
+/// each other, so a daemon that knows only its own data centre does not spend the shares of the others.
 unsigned Gateway::retryDivisor() const
 {
     return options_.dataCentres * retryMembers_.count(BootClock::now());
 }
 
-void Gateway::shareRetries(SteadyTime now)
+void Gateway::updateRetryBudget(SteadyTime now)
 {
     if (view_->storeReachable) {
         retryMembers_.confirmList(now);
     }
-    RetryBudgetOptions terms;
-    terms.ratio = options_.retryRatio;
-    terms.fixedPart = retryMembers_.maySpend(now) ? options_.extraRetriesPerWindow / retryDivisor() : 0;
-    terms.rounding = retryRounding_;
-    terms.window = options_.retryWindow;
-    retries_.setOptions(terms, now);
+    RetryBudgetOptions budget;
+    budget.ratio = options_.retryRatio;
+    budget.fixedPart = retryMembers_.maySpend(now) ? options_.extraRetriesPerWindow / retryDivisor() : 0;
+    budget.rounding = retryRounding_;
+    budget.window = options_.retryWindow;
+    retries_.setOptions(budget, now);
 }
 
 void Gateway::setPolicy(const PolicySettings &policy)
@@ -125,7 +125,7 @@
     orders_ = orders;
 }
 
-void Gateway::saveRuns(SteadyTime now)
+void Gateway::moveEndingRuns(SteadyTime now)
 {
     if (orders_ == nullptr || !policy_.moves) {
         return;
@@ -166,21 +166,21 @@
     }
 }
 
-void Gateway::setPeerRequestHandler(PeerRequestHandler *questions)
+void Gateway::setPeerRequestHandler(PeerRequestHandler *handler)
 {
-    peerRequestHandler_ = questions;
+    peerRequestHandler_ = handler;
 }
 
 void Gateway::viewChanged()
 {
-    view_ = cell_.read();
+    view_ = viewCell_.read();
     loads_.keepOnly(*view_);
     const SteadyTime now = BootClock::now();
     crashes_.setView(view_, now);
     regions_.setDaemons(*view_, now);
     loadAggregation_.setView(view_);
     setLimits(now);
-    chooseOwners(now);
+    updateOwners(now);
     upstreamLimits_.setView(view_, now);
     notices_.setView(*view_, now);
     std::set<std::string> ownDataCentre;
@@ -190,36 +190,36 @@
         }
     }
     retryMembers_.setListed(std::move(ownDataCentre), now);
-    shareRetries(now);
-    local_.clear();
+    updateRetryBudget(now);
+    localUpstreams_.clear();
     for (const auto &[id, upstream] : view_->upstreams) {
         if (upstream.region == identity_.region) {
-            local_[upstream.service].push_back(&upstream);
+            localUpstreams_[upstream.service].push_back(&upstream);
         }
     }
 }
 
-void Gateway::answered(const UpstreamRecord &asked, const AnswerNotice &notice, SteadyTime sentAt)
+void Gateway::noteAnswer(const UpstreamRecord &asked, const AnswerNotice &notice, SteadyTime sentAt)
 {
-    const std::string *speaker = speakerOf(asked, notice);
-    if (speaker == nullptr) {
+    const std::string *upstreamId = answeringIncarnation(asked, notice);
+    if (upstreamId == nullptr) {
         return;
     }
     const SteadyTime now = BootClock::now();
-    upstreamLimits_.answered(*speaker, notice.limit, notice.fromUpstream, sentAt, now);
-    notices_.answered(*speaker, notice, now);
+    upstreamLimits_.answered(*upstreamId, notice.limit, notice.fromUpstream, sentAt, now);
+    notices_.answered(*upstreamId, notice, now);
 }
 
-void Gateway::answeredOrder(const UpstreamRecord &asked, const boost::beast::http::response_header<> &head)
+void Gateway::noteOrderAnswer(const UpstreamRecord &asked, const boost::beast::http::response_header<> &head)
 {
     AnswerNotice notice = readNotice(head, names_, std::chrono::system_clock::now());
     notice.fromUpstream = false;
-    answered(asked, notice, BootClock::now());
+    noteAnswer(asked, notice, BootClock::now());
 }
 
-/// Addresses are used again, and nobody may speak for a life at another one. A life that is not on the list is sent nothing, and
-/// tells again once it is.
-const std::string *Gateway::speakerOf(const UpstreamRecord &asked, const AnswerNotice &notice) const
+/// Addresses are reused, and an answer must not count for an incarnation at another address. An incarnation that is not listed is
+/// sent nothing, and repeats its notice once it is listed.
+const std::string *Gateway::answeringIncarnation(const UpstreamRecord &asked, const AnswerNotice &notice) const
 {
     if (notice.incarnation.empty() || notice.incarnation == asked.registeredName) {
         return &asked.id;
@@ -240,9 +240,9 @@
 void Gateway::setLimits(SteadyTime now)
 {
     organisationLimits_.setFleet(regions_.listedRegions(), static_cast<unsigned>(view_->daemons.size()));
-    if (view_->services && view_->services != limitsOf_) {
-        limitsOf_ = view_->services;
-        organisationLimits_.setOrganisations(limitsOf_->organisations, now);
+    if (view_->services && view_->services != limitConfiguration_) {
+        limitConfiguration_ = view_->services;
+        organisationLimits_.setOrganisations(limitConfiguration_->organisations, now);
     }
 }
 
@@ -256,14 +256,16 @@
     upstreamLimits_.setWriteRecord(std::move(write));
 }
 
-unsigned Gateway::daemonsSharing() const
+unsigned Gateway::sharingDaemonCount() const
 {
-    // A daemon that has just started has heard nobody yet, one that is cut off from the store may hear more than are listed.
+    // A daemon that has just started has heard no other daemon yet; one that is cut off from the store may hear more than are
+    // listed.
     return std::max(regions_.daemonsInOwnRegion(), listedInOwnRegion_) + spareDaemons;
 }
 
-/// A record outlives its daemon by the rest of a lease: an upstream whose owner has died would be sent nothing for that long.
-void Gateway::chooseOwners(SteadyTime now)
+/// A daemon's record outlives it by the rest of its lease; without this an upstream whose owner has died would be sent nothing
+/// for that long.
+void Gateway::updateOwners(SteadyTime now)
 {
     std::vector<std::uint64_t> members;
     listedInOwnRegion_ = 0;
@@ -283,13 +285,13 @@
 {
     const SteadyTime now = BootClock::now();
     pool_.sweep(now);
-    saveRuns(now);
+    moveEndingRuns(now);
     crashes_.tick(now);
     regions_.tick(now);
-    chooseOwners(now);
+    updateOwners(now);
     upstreamLimits_.tick(now);
-    shareRetries(now);
-    cold_.setOptions({ options_.coldOvershoot, options_.coldSlack, daemonsSharing(), retryMembers_.ownListedSince() });
+    updateRetryBudget(now);
+    coldGate_.setOptions({ options_.coldOvershoot, options_.coldSlack, sharingDaemonCount(), retryMembers_.ownListedSince() });
 }
 
 void Gateway::beginDrain(const StopDeadlines &stop)
@@ -358,8 +360,8 @@
     if (regions_.fellSilent(daemon.id, now)) {
         return Wire::DaemonPhase::Closing;
     }
-    const Wire::DaemonPhase said = regions_.phaseOf(daemon.id);
-    return daemon.leaving && said == Wire::DaemonPhase::Serving ? Wire::DaemonPhase::Stopping : said;
+    const Wire::DaemonPhase reported = regions_.phaseOf(daemon.id);
+    return daemon.leaving && reported == Wire::DaemonPhase::Serving ? Wire::DaemonPhase::Stopping : reported;
 }
 
 bool Gateway::othersServeRegion(SteadyTime now) const
--- a/src/portpaddle/gateway/gateway.h
+++ b/src/portpaddle/gateway/gateway.h
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The request path of a daemon on one event loop: takes requests, places them, carries them to upstreams and other regions.
+/// The request path of a daemon on one event loop: accepts requests, chooses a target and forwards them to upstreams and other
+/// regions.
 #pragma once
 
 #include "portpaddle/base/rcu_cell.h"
@@ -36,7 +37,7 @@
 class RandomSource;
 class UpstreamOrders;
 
-/// Who this daemon is.
+/// Identifies this daemon.
 struct GatewayIdentity
 {
     std::string id;
@@ -52,26 +53,26 @@
     std::chrono::milliseconds retryWindow{ 10'000 };
     double coldOvershoot = 1;
     double coldSlack = 0;
-    /// Data centres over which the extra retries are divided evenly.
+    /// Number of data centres over which the extra retries are divided evenly.
     unsigned dataCentres = 1;
-    /// A daemon that has been on the list for less has no part of the extra retries. Daemons learn of each other's coming within
+    /// A daemon that has been listed for less than this gets no share of the extra retries. Daemons learn of each other within
     /// about two seconds.
     std::chrono::milliseconds listSettling{ 3'000 };
-    /// How long a request waits for the first configuration after a start. The store answers in milliseconds where it is well.
+    /// How long a request waits for the first configuration after a start. A healthy store answers in milliseconds.
     std::chrono::milliseconds configurationWait{ 300 };
     /// Runs are moved this long before their upstream ends: a copy takes some ten milliseconds, several follow one another, and
     /// the tick is 100 ms.
     std::chrono::milliseconds moveLead{ 500 };
-    /// Streams of other daemons are handed over this long before this daemon ends; the link takes one more way.
+    /// Streams of other daemons are handed over this long before this daemon ends; the link adds one more way.
     std::chrono::milliseconds handOverLead{ 800 };
-    /// From its announcement a leaving upstream serves at least this long.
+    /// Minimum time for which a leaving upstream serves after its announcement.
     std::chrono::milliseconds drainBound{ 3'000 };
     std::size_t bodyMemoryBytes = 64 * 1024 * 1024;
-    /// By which organisations' limits may be exceeded.
+    /// By how much organisations' limits may be exceeded.
     LimitTolerance limitTolerance;
 };
 
-/// Belongs to one event loop; only the view is written by another thread.
+/// Handles the requests of one event loop and must only be used from it; only the view is written by another thread.
 class Gateway : public RequestHandler
 {
 public:
@@ -85,131 +86,134 @@
     bool reserveBody(std::size_t bytes) override;
     void releaseBody(std::size_t bytes) override;
 
-    void setOptions(const GatewayOptions &terms);
+    void setOptions(const GatewayOptions &options);
     void setPolicy(const PolicySettings &policy);
-    /// Without orders the memory of runs is not moved.
+    /// Sets the orders by which engines move the memory of runs; without orders no run is moved.
     void setOrders(const UpstreamOrders *orders);
-    /// Keeps on the platform which requests are held; see CrashGuard.
+    /// Sets the function that writes quarantined requests to the platform; see CrashGuard.
     void setQuarantineWriter(CrashGuard::WriteRecord write);
-    /// Has the limits that upstreams name written to the platform.
+    /// Sets the function that writes the limits named by upstreams to the platform.
     void setLimitWriter(UpstreamLimits::WriteRecord write);
-    /// What to tell other daemons of requests that upstreams ended under; call once in each interval.
+    /// Returns the digests about requests during which upstreams ended; call once in each interval.
     std::vector<OutgoingDigest> dueCrashDigests();
-    /// The same of the limits that upstreams name.
+    /// Returns the digests about limits named by upstreams; call once in each interval.
     std::vector<OutgoingDigest> dueLimitDigests();
-    /// Answers other daemons that ask for what the store told; must outlive the gateway.
-    void setPeerRequestHandler(PeerRequestHandler *questions);
-    /// A newer view was published.
+    /// Sets the handler for other daemons' requests for the state of the store; it must outlive the gateway.
+    void setPeerRequestHandler(PeerRequestHandler *handler);
+    /// Reads the view again; call when a newer one was published.
     void viewChanged();
     void setDigestInterval(std::chrono::milliseconds interval);
     void applyDigest(const Wire::LoadDigestT &digest);
-    /// Parts of prompts placed until now are told in the digests that follow, up to the next call.
+    /// Collects the prompt parts placed since the last call; the digests that follow announce them.
     void beginDigestRound(DigestReach reach);
-    /// What to tell now, each to be sent in a datagram of its own.
+    /// Returns the digests to send now, each in a datagram of its own.
     std::vector<Wire::LoadDigestT> digests(DigestReach reach);
-    /// What a daemon of a fleet that has gatherers tells at this turn; see LoadAggregation.
+    /// Returns the digests that a daemon of a fleet with aggregators sends at this turn; see LoadAggregation.
     std::vector<OutgoingDigest> dueFleetDigests(std::size_t turn);
-    /// Housekeeping, a few times a second.
+    /// Runs periodic work; call a few times a second.
     void tick();
-    /// From now on answers close their connections, and requests are refused that may not be over in time.
+    /// From now on answers close their connections, and requests that may not end in time are refused.
     void beginDrain(const StopDeadlines &stop);
-    /// The times of a stop that has begun.
+    /// Returns the deadlines of a stop in progress; no value if none has begun.
     const std::optional<StopDeadlines> &stop() const;
-    /// No caller is taken any more.
+    /// From now on the daemon reports that it accepts no callers.
     void beginClosing();
-    /// Another daemon of the own region takes callers.
+    /// Returns whether another daemon of the own region accepts callers.
     bool othersServeRegion(SteadyTime now) const;
     std::size_t inProgress() const;
-    /// Logs each request whose answer ends with this daemon.
+    /// Logs each request whose answer is cut off by the end of this daemon.
     void logUnfinished() const;
     std::shared_ptr<const FleetView> view() const;
     const RegionTable &regions() const;
     const GatewayIdentity &identity() const;
-    /// A configuration is known and no stop has begun.
+    /// Returns whether a configuration is known and no stop has begun.
     bool ready() const;
-    /// Daemons over which the extra retries are divided: as many in each data centre as in the own one.
+    /// Returns the number of daemons over which the extra retries are divided, assuming as many in each data centre as in the own
+    /// one.
     unsigned retryDivisor() const;
-    /// What callers may expect of @p daemon.
+    /// Returns the phase in which callers should expect @p daemon to be.
     Wire::DaemonPhase phaseOf(const DaemonRecord &daemon, SteadyTime now) const;
 
 private:
     friend class Exchange;
 
-    /// Daemons of a region that may be added or come back while others still count.
+    /// Daemons of a region that may be added or come back while other daemons do not count them yet.
     static constexpr unsigned spareDaemons = 1;
 
-    /// What a choice for a request depends on besides the request itself.
+    /// The inputs of a choice besides the request itself.
     struct ChoiceContext
     {
         const Route &route;
-        /// Whose request it is; null where that does not matter here.
+        /// The organisation of the request; null where it does not matter for the choice.
         const Organisation *organisation;
         /// See ServiceMap::rankOf().
         unsigned rank;
         const std::string &service;
-        /// Upstreams and regions that it is not to be sent to again.
+        /// Upstreams and regions to which the request must not be sent again.
         const std::vector<std::string> &tried;
-        /// It is of no use after this.
+        /// The answer is useless to the caller after this time.
         SteadyTime deadline;
-        /// Whole events that its caller has already.
+        /// Whole events that the caller has received.
         std::size_t eventsSeen = 0;
-        /// It is to be over by its prediction then.
-        SteadyTime overBy = SteadyTime::max();
+        /// The predicted end of the answer must not be later than this.
+        SteadyTime completionDeadline = SteadyTime::max();
 
         bool allowsRegion(std::string_view region) const;
     };
 
-    /// Chooses where @p request goes, and counts it there.
+    /// Chooses the target of @p request and counts the request there.
     Target choose(const CallerRequest &request, const ChoiceContext &context, SteadyTime now);
-    /// Where @p request would go.
+    /// Returns the target that choose() would choose, without counting the request.
     Target propose(const CallerRequest &request, const ChoiceContext &context, SteadyTime now);
     std::vector<UpstreamCandidate> localCandidates(const std::string &service, const ServiceSpec &spec, const PromptFacts &prompt,
                                                    const std::vector<std::string> &tried,
                                                    std::vector<const UpstreamRecord *> &records, SteadyTime now);
-    /// Raises what the homes of a prompt are expected to keep.
-    void expectAtHomes(const PromptFacts &prompt, std::vector<UpstreamCandidate> &upstreams,
-                       const std::vector<const UpstreamRecord *> &records, std::vector<RegionCandidate> &regions,
-                       const std::vector<std::string> &regionNames) const;
-    /// Looks again at which daemons share the retry budget.
-    void shareRetries(SteadyTime now);
-    /// Whether this daemon gathers for its region what @p organisation may spend.
+    /// Raises the cached tokens expected at the upstreams and the region that prefix affinity ranks first for @p prompt.
+    void applyPrefixAffinity(const PromptFacts &prompt, std::vector<UpstreamCandidate> &upstreams,
+                             const std::vector<const UpstreamRecord *> &records, std::vector<RegionCandidate> &regions,
+                             const std::vector<std::string> &regionNames) const;
+    /// Recomputes this daemon's share of the retry budget.
+    void updateRetryBudget(SteadyTime now);
+    /// Returns whether this daemon aggregates the usage of @p organisation for its region.
     bool aggregatesLimitOf(std::uint32_t organisation, SteadyTime now) const;
     void setLimits(SteadyTime now);
-    /// Which daemons of the own region may own what cannot be divided among all of them.
-    void chooseOwners(SteadyTime now);
-    ExclusionReason bar(const UpstreamRecord &upstream, const ServiceSpec &spec, SteadyTime now);
-    /// The head of an answer came at the address of @p asked, to what was sent then.
-    void answered(const UpstreamRecord &asked, const AnswerNotice &notice, SteadyTime sentAt);
-    /// The same of an answer to an order, which tells nothing of requests.
-    void answeredOrder(const UpstreamRecord &asked, const boost::beast::http::response_header<> &head);
-    /// The life that gave it; null where it is not on the list at that address.
-    const std::string *speakerOf(const UpstreamRecord &asked, const AnswerNotice &notice) const;
+    /// Updates the daemons of the own region that may own a bound that cannot be divided among all of them.
+    void updateOwners(SteadyTime now);
+    ExclusionReason exclusionReasonOf(const UpstreamRecord &upstream, const ServiceSpec &spec, SteadyTime now);
+    /// Records the response header that an upstream at the address of @p asked sent to a request sent at @p sentAt.
+    void noteAnswer(const UpstreamRecord &asked, const AnswerNotice &notice, SteadyTime sentAt);
+    /// The same for the response to an order, which says nothing about requests.
+    void noteOrderAnswer(const UpstreamRecord &asked, const boost::beast::http::response_header<> &head);
+    /// Returns the id of the incarnation that answered; null where it is not listed at that address.
+    const std::string *answeringIncarnation(const UpstreamRecord &asked, const AnswerNotice &notice) const;
     std::size_t connectionShare(const ServiceSpec &spec) const;
-    /// Upstreams of @p service in the own region that do not leave.
-    struct HeldBack
+    /// Upstreams of a service in the own region that are not leaving.
+    struct ActiveUpstreams
     {
-        std::vector<const std::string *> askedForTime;
+        std::vector<const std::string *> backingOff;
         std::vector<const std::string *> others;
     };
-    HeldBack heldBackUpstreams(const std::string &service, SteadyTime now) const;
-    /// No upstream of @p service may be asked, and one that asked for time may be later.
-    bool holdsBackAll(const std::string &service, SteadyTime now) const;
-    /// When there is room for a request that begins to wait now: its turn at an upstream with a limit, or the end of the time
-    /// that one asked for. None where neither is known.
-    std::optional<SteadyTime::duration> roomIn(const std::string &service, SteadyTime now);
-    /// When a request that finds all upstreams held back so may come again: spread, so that they do not come together.
-    SteadyTime::duration returnIn(const std::string &service, SteadyTime now);
-    /// Daemons of the own region among which bounds of an upstream are divided: those listed or heard, whichever are more.
-    unsigned daemonsSharing() const;
+    ActiveUpstreams activeUpstreams(const std::string &service, SteadyTime now) const;
+    /// Returns whether every upstream of @p service is excluded and at least one of them is only backing off.
+    bool allBackingOff(const std::string &service, SteadyTime now) const;
+    /// Returns the time until a request that begins to wait now can be sent: its turn at an upstream with a limit, or the end of
+    /// an upstream's back-off. No value where neither is known.
+    std::optional<SteadyTime::duration> timeUntilRoom(const std::string &service, SteadyTime now);
+    /// Returns when a request that finds no upstream to send to should be retried, with a random spread so that retries do not
+    /// arrive together.
+    SteadyTime::duration suggestedRetryDelay(const std::string &service, SteadyTime now);
+    /// Returns the number of daemons of the own region among which bounds of an upstream are divided: the larger of those listed
+    /// and those heard.
+    unsigned sharingDaemonCount() const;
     Wire::DaemonPhase ownPhase() const;
-    /// The sender of a digest and its phase.
+    /// Returns a digest that has only the fields of the sender.
     Wire::LoadDigestT digestHeader() const;
     void addServiceWaits(Wire::LoadDigestT &digest, SteadyTime now);
 
     Executor executor_;
     GatewayIdentity identity_;
     HeaderNames names_;
-    const RcuCell<FleetView> &cell_;
+    const RcuCell<FleetView> &viewCell_;
     std::shared_ptr<const FleetView> view_;
     RandomSource &random_;
     Metrics &metrics_;
@@ -220,27 +224,27 @@
     UpstreamLoads loads_;
     RetryCredit retries_;
     RetryMembers retryMembers_;
-    /// See shareRetries(); drawn once for the life of the process.
+    /// Random rounding of this daemon's share of extra retries; drawn once for the life of the process. See updateRetryBudget().
     double retryRounding_;
-    ColdGate cold_;
+    ColdGate coldGate_;
     RegionTable regions_;
     OrganisationLimits organisationLimits_;
     /// The configuration whose limits are in force.
-    std::shared_ptr<const ServiceMap> limitsOf_;
+    std::shared_ptr<const ServiceMap> limitConfiguration_;
     LoadAggregation loadAggregation_;
-    /// Which upstreams are this daemon's where a bound cannot be divided among all.
+    /// Decides which upstreams this daemon owns where a bound cannot be divided among all daemons.
     StableOwner owners_;
     UpstreamLimits upstreamLimits_;
     UpstreamNotices notices_;
-    /// Requests that wait for their turn at an upstream with a limit, by service.
-    std::map<std::string, std::size_t> waitingForTurn_;
+    /// Number of requests that wait to be sent to an upstream with a limit, by service.
+    std::map<std::string, std::size_t> waitingRequests_;
     /// Daemons of the own region in the view.
     unsigned listedInOwnRegion_ = 0;
     /// Upstreams of the own region by service; points into the view.
-    std::unordered_map<std::string, std::vector<const UpstreamRecord *>> local_;
-    /// Moves runs away from upstreams that are about to end, and those of other daemons when this one is.
-    void saveRuns(SteadyTime now);
-    /// Whether @p upstream ends in a moment.
+    std::unordered_map<std::string, std::vector<const UpstreamRecord *>> localUpstreams_;
+    /// Moves runs away from upstreams that end soon, and hands over those of other daemons when this daemon does.
+    void moveEndingRuns(SteadyTime now);
+    /// Returns whether @p upstream ends within the lead time of a move.
     bool isEnding(const UpstreamRecord &upstream, SteadyTime now) const;
     void forgetStream(const std::string &upstream, Exchange *exchange);
 
@@ -251,8 +255,8 @@
     std::size_t bodyBytes_ = 0;
     std::set<const Exchange *> inProgress_;
     std::uint64_t digestSequence_ = 0;
-    /// Parts that the digests of this round tell, by reach.
-    std::array<std::vector<Wire::PlacedPart>, 2> roundParts_;
+    /// Prompt parts that the digests of this round announce, by reach.
+    std::array<std::vector<Wire::PlacedPart>, 2> announcedParts_;
     std::optional<StopDeadlines> stop_;
     bool closed_ = false;
 };
--- a/src/portpaddle/gateway/gateway_choice.cpp
+++ b/src/portpaddle/gateway/gateway_choice.cpp
@@ -1,11 +1,11 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Where requests go: the candidates that a gateway sees, and the choice between them.
+// Choice of a target: collects the candidate upstreams and regions and chooses between them.
 
 #include "portpaddle/gateway/fetch_offers.h"
 #include "portpaddle/gateway/gateway.h"
-#include "portpaddle/gateway/prompt_homes.h"
+#include "portpaddle/gateway/prefix_affinity.h"
 #include "portpaddle/routing/rendezvous.h"
 
 #include <algorithm>
@@ -14,14 +14,14 @@
 
 namespace {
 
-// Connections beyond the running requests of a daemon's share bring nothing.
-constexpr std::size_t fewestConnections = 4;
-// Callers that were refused while an upstream wanted nothing come back over this part of the time that was left.
-constexpr double returnSpread = 0.5;
+// Minimum share of an upstream's connections. More connections than the running requests of a daemon's share bring nothing.
+constexpr std::size_t minConnections = 4;
+// Callers refused during a back-off are told to return spread over this share of the time that was left.
+constexpr double retrySpread = 0.5;
 
-/// Leaves of each one's failures what goes beyond those of all: requests that fail wherever they run say nothing against the
-/// upstream, and sending them to another region brings two ways more. Without this, seven in ten calls of a service that answers
-/// 6 in 100 with an error of its own went to other regions, at 150 ms in place of 20.
+/// Subtracts the mean failure share from each candidate: requests that fail wherever they run say nothing about the upstream, and
+/// sending them to another region adds a round trip. Without this, seven in ten calls of a service that answers 6 in 100 with an
+/// error of its own went to other regions, at 150 ms instead of 20.
 void compareFailures(std::vector<UpstreamCandidate> &candidates)
 {
     double sum = 0;
@@ -47,42 +47,42 @@
 
 std::size_t Gateway::connectionShare(const ServiceSpec &spec) const
 {
-    return std::max<std::size_t>(fewestConnections, spec.connectionLimit / daemonsSharing());
+    return std::max<std::size_t>(minConnections, spec.connectionLimit / sharingDaemonCount());
 }
 
-ExclusionReason Gateway::bar(const UpstreamRecord &upstream, const ServiceSpec &spec, SteadyTime now)
+ExclusionReason Gateway::exclusionReasonOf(const UpstreamRecord &upstream, const ServiceSpec &spec, SteadyTime now)
 {
     if (!view_->takesRequests(upstream)) {
         return ExclusionReason::Leaving;
     }
-    const ExclusionReason told = notices_.exclusionReason(upstream.id, now);
-    if (told != ExclusionReason::None) {
-        return told;
+    const ExclusionReason noticed = notices_.exclusionReason(upstream.id, now);
+    if (noticed != ExclusionReason::None) {
+        return noticed;
     }
     if (pool_.idle(upstream.id) == 0 && pool_.open(upstream.id) >= connectionShare(spec)) {
         return ExclusionReason::Full;
     }
     if (upstream.coldUntil > now && spec.coldPerSecond > 0) {
         const bool owner = owners_.owns(stableHash(upstream.id), now);
-        if (!cold_.allows(upstream.id, spec.coldPerSecond, owner, now)) {
+        if (!coldGate_.allows(upstream.id, spec.coldPerSecond, owner, now)) {
             return ExclusionReason::ShareSpent;
         }
     }
     return upstreamLimits_.allows(upstream.id, now) ? ExclusionReason::None : ExclusionReason::UpstreamLimit;
 }
 
-Gateway::HeldBack Gateway::heldBackUpstreams(const std::string &service, SteadyTime now) const
+Gateway::ActiveUpstreams Gateway::activeUpstreams(const std::string &service, SteadyTime now) const
 {
-    HeldBack upstreams;
-    const auto local = local_.find(service);
-    if (local == local_.end()) {
+    ActiveUpstreams upstreams;
+    const auto local = localUpstreams_.find(service);
+    if (local == localUpstreams_.end()) {
         return upstreams;
     }
     for (const UpstreamRecord *upstream : local->second) {
         const ExclusionReason exclusionReason
             = view_->takesRequests(*upstream) ? notices_.exclusionReason(upstream->id, now) : ExclusionReason::Leaving;
         if (exclusionReason == ExclusionReason::BackingOff) {
-            upstreams.askedForTime.push_back(&upstream->id);
+            upstreams.backingOff.push_back(&upstream->id);
         } else if (exclusionReason == ExclusionReason::None) {
             upstreams.others.push_back(&upstream->id);
         }
@@ -90,29 +90,29 @@
     return upstreams;
 }
 
-bool Gateway::holdsBackAll(const std::string &service, SteadyTime now) const
+bool Gateway::allBackingOff(const std::string &service, SteadyTime now) const
 {
-    const HeldBack upstreams = heldBackUpstreams(service, now);
-    return upstreams.others.empty() && !upstreams.askedForTime.empty();
+    const ActiveUpstreams upstreams = activeUpstreams(service, now);
+    return upstreams.others.empty() && !upstreams.backingOff.empty();
 }
 
-std::optional<SteadyTime::duration> Gateway::roomIn(const std::string &service, SteadyTime now)
+std::optional<SteadyTime::duration> Gateway::timeUntilRoom(const std::string &service, SteadyTime now)
 {
-    const HeldBack upstreams = heldBackUpstreams(service, now);
-    const auto waiting = waitingForTurn_.find(service);
-    const std::size_t ahead = waiting == waitingForTurn_.end() ? 0 : waiting->second;
+    const ActiveUpstreams upstreams = activeUpstreams(service, now);
+    const auto waiting = waitingRequests_.find(service);
+    const std::size_t ahead = waiting == waitingRequests_.end() ? 0 : waiting->second;
     const std::optional<SteadyTime::duration> turn = upstreamLimits_.nextSendDelay(upstreams.others, ahead, now);
-    const std::optional<SteadyTime::duration> back = notices_.earliestBackoffEnd(upstreams.askedForTime, now);
-    return turn && back ? std::min(turn, back) : turn ? turn : back;
+    const std::optional<SteadyTime::duration> backoffEnd = notices_.earliestBackoffEnd(upstreams.backingOff, now);
+    return turn && backoffEnd ? std::min(turn, backoffEnd) : turn ? turn : backoffEnd;
 }
 
-SteadyTime::duration Gateway::returnIn(const std::string &service, SteadyTime now)
+SteadyTime::duration Gateway::suggestedRetryDelay(const std::string &service, SteadyTime now)
 {
-    const HeldBack upstreams = heldBackUpstreams(service, now);
+    const ActiveUpstreams upstreams = activeUpstreams(service, now);
     const SteadyTime::duration interval = upstreamLimits_.interval(upstreams.others, now).value_or(SteadyTime::duration::zero());
-    const SteadyTime::duration room = roomIn(service, now).value_or(interval);
-    const bool timeAsked = notices_.earliestBackoffEnd(upstreams.askedForTime, now) == room;
-    const auto spread = random_.fraction() * (timeAsked ? returnSpread * room : 1.0 * interval);
+    const SteadyTime::duration room = timeUntilRoom(service, now).value_or(interval);
+    const bool endsBackoff = notices_.earliestBackoffEnd(upstreams.backingOff, now) == room;
+    const auto spread = random_.fraction() * (endsBackoff ? retrySpread * room : 1.0 * interval);
     return room + std::chrono::duration_cast<SteadyTime::duration>(spread);
 }
 
@@ -121,8 +121,8 @@
                                                         std::vector<const UpstreamRecord *> &records, SteadyTime now)
 {
     std::vector<UpstreamCandidate> candidates;
-    const auto local = local_.find(service);
-    if (local == local_.end()) {
+    const auto local = localUpstreams_.find(service);
+    if (local == localUpstreams_.end()) {
         return candidates;
     }
     for (const UpstreamRecord *record : local->second) {
@@ -132,7 +132,7 @@
         candidate.index = static_cast<std::uint32_t>(records.size());
         candidate.needsConnection = pool_.idle(id) == 0;
         candidate.limited = upstreamLimits_.isLimited(id, now);
-        const ExclusionReason exclusionReason = bar(upstream, spec, now);
+        const ExclusionReason exclusionReason = exclusionReasonOf(upstream, spec, now);
         if (std::find(tried.begin(), tried.end(), id) != tried.end()) {
             candidate.exclusionReason = ExclusionReason::AlreadyTried;
         } else if (exclusionReason != ExclusionReason::None) {
@@ -145,34 +145,35 @@
     return candidates;
 }
 
-void Gateway::expectAtHomes(const PromptFacts &prompt, std::vector<UpstreamCandidate> &upstreams,
-                            const std::vector<const UpstreamRecord *> &records, std::vector<RegionCandidate> &regions,
-                            const std::vector<std::string> &regionNames) const
+void Gateway::applyPrefixAffinity(const PromptFacts &prompt, std::vector<UpstreamCandidate> &upstreams,
+                                  const std::vector<const UpstreamRecord *> &records, std::vector<RegionCandidate> &regions,
+                                  const std::vector<std::string> &regionNames) const
 {
-    std::vector<HomeCandidate> homes;
+    std::vector<AffinityUpstream> affinityUpstreams;
     for (UpstreamCandidate &upstream : upstreams) {
         if (upstream.exclusionReason == ExclusionReason::None && !upstream.limited) {
-            homes.push_back({ &upstream, upstreamKey(records[upstream.index]->id) });
+            affinityUpstreams.push_back({ &upstream, upstreamKey(records[upstream.index]->id) });
         }
     }
-    std::vector<HomeRegion> homeRegions{ { nullptr, stableHash(identity_.region), static_cast<double>(homes.size()) } };
+    std::vector<AffinityRegion> affinityRegions{ { nullptr, stableHash(identity_.region),
+                                                   static_cast<double>(affinityUpstreams.size()) } };
     for (RegionCandidate &region : regions) {
-        homeRegions.push_back({ &region, stableHash(regionNames[region.index]), region.upstreams });
+        affinityRegions.push_back({ &region, stableHash(regionNames[region.index]), region.upstreams });
     }
-    Portpaddle::expectAtHomes(prompt, homeRegions, std::move(homes));
+    Portpaddle::applyPrefixAffinity(prompt, affinityRegions, std::move(affinityUpstreams));
 }
 
 Target Gateway::choose(const CallerRequest &request, const ChoiceContext &context, SteadyTime now)
 {
     Target target = propose(request, context, now);
     if (target.upstream && target.upstream->coldUntil > now) {
-        cold_.take(target.upstream->id, now);
+        coldGate_.take(target.upstream->id, now);
     }
     if (target.upstream) {
         upstreamLimits_.take(target.upstream->id, now);
     }
     if (target.daemon) {
-        regions_.sentAway(target.daemon->region, context.service, request.prompt);
+        regions_.recordForwarded(target.daemon->region, context.service, request.prompt);
     }
     return target;
 }
@@ -195,12 +196,12 @@
     facts.memoryTokens = request.prompt.promptTokens + request.prompt.maxTokensOut;
     const double tokensSeen = static_cast<double>(context.eventsSeen) * spec->tokensPerEvent;
     facts.tokensOut = std::max(0.0, request.prompt.expectedTokensOut - tokensSeen);
-    facts.begun = context.eventsSeen > 0;
-    facts.firstTokenBoundMs = std::min(timeLeftMs, millisLeft(request.arrivedAt + route.firstEventTimeout(), now));
-    facts.wholeBoundMs = std::min(timeLeftMs, millisLeft(context.overBy, now));
+    facts.answerStarted = context.eventsSeen > 0;
+    facts.firstTokenTimeoutMs = std::min(timeLeftMs, millisLeft(request.arrivedAt + route.firstEventTimeout(), now));
+    facts.completionTimeoutMs = std::min(timeLeftMs, millisLeft(context.completionDeadline, now));
     facts.lateLast = policy_.lateLast;
     facts.targetMs = static_cast<double>(route.targetLatency.count());
-    facts.targetLeftMs = millisLeft(request.arrivedAt + route.targetLatency, now);
+    facts.remainingTargetMs = millisLeft(request.arrivedAt + route.targetLatency, now);
 
     std::vector<const UpstreamRecord *> records;
     std::vector<UpstreamCandidate> upstreams;
@@ -218,14 +219,14 @@
         });
     }
     const FetchSources sources = policy_.fetching ? offerFetching(*spec, upstreams, records) : FetchSources{};
-    if (policy_.promptHomes) {
-        expectAtHomes(request.prompt, upstreams, records, regions, regionNames);
+    if (policy_.prefixAffinity) {
+        applyPrefixAffinity(request.prompt, upstreams, records, regions, regionNames);
     }
     PlacementWeights weights = policy_.weights;
     weights.spreadMs *= regions_.daemonsInOwnRegion() - 1;
     target.placement = place(facts, upstreams, regions, weights, random_);
     if (target.placement.verdict == Verdict::Refuse && target.placement.reason == ExclusionReason::Unhealthy) {
-        // All that is left looks ill: the best of them is still better than none.
+        // All remaining upstreams look unhealthy: the best of them is still better than none.
         for (UpstreamCandidate &candidate : upstreams) {
             candidate.exclusionReason
                 = candidate.exclusionReason == ExclusionReason::Unhealthy ? ExclusionReason::None : candidate.exclusionReason;
--- a/src/portpaddle/gateway/gateway_news.cpp
+++ b/src/portpaddle/gateway/gateway_digests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What a gateway tells other daemons, and what it takes from what they tell.
+// Collects the digests that a gateway sends to other daemons, and applies those that it receives.
 
 #include "portpaddle/gateway/gateway.h"
 #include "portpaddle/gateway/load_digest.h"
@@ -42,7 +42,7 @@
 
 void Gateway::beginDigestRound(DigestReach reach)
 {
-    roundParts_.at(static_cast<std::size_t>(reach)) = loads_.takePlaced(reach);
+    announcedParts_.at(static_cast<std::size_t>(reach)) = loads_.takePlaced(reach);
 }
 
 std::vector<Wire::LoadDigestT> Gateway::digests(DigestReach reach)
@@ -52,7 +52,7 @@
     header.sequence = digestSequence_ + 1;
     addServiceWaits(header, now);
     const auto shares = reach == DigestReach::OwnRegion ? loads_.shares(now) : std::vector<Wire::UpstreamShare>{};
-    std::vector<Wire::LoadDigestT> result = splitIntoDigests(header, shares, roundParts_.at(static_cast<std::size_t>(reach)));
+    std::vector<Wire::LoadDigestT> result = splitIntoDigests(header, shares, announcedParts_.at(static_cast<std::size_t>(reach)));
     const auto all = [](std::uint32_t) { return true; };
     LimitDigest limits;
     if (reach == DigestReach::OwnRegion) {
@@ -101,22 +101,22 @@
     if (!view_->services) {
         return;
     }
-    const PromptFacts none;
+    const PromptFacts noPrompt;
     for (const auto &[name, spec] : view_->services->services) {
         if (digest.services.size() >= maxDigestServices) {
             break;
         }
         std::vector<const UpstreamRecord *> records;
         ServiceSummary summary;
-        for (const UpstreamCandidate &candidate : localCandidates(name, spec, none, {}, records, now)) {
-            // What cold upstreams bear, and those with a limit take, goes to callers of the own region.
-            const bool cold = policy_.coldAtHome && records[candidate.index]->coldUntil > now;
-            const bool keptBack = cold || candidate.limited;
-            if (candidate.exclusionReason == ExclusionReason::None && !keptBack) {
+        for (const UpstreamCandidate &candidate : localCandidates(name, spec, noPrompt, {}, records, now)) {
+            // The capacity of cold upstreams and of those with a limit is reserved for callers of the own region.
+            const bool cold = policy_.reserveColdUpstreams && records[candidate.index]->coldUntil > now;
+            const bool reserved = cold || candidate.limited;
+            if (candidate.exclusionReason == ExclusionReason::None && !reserved) {
                 summary.add(candidate);
             }
         }
-        digest.services.push_back(summary.told(serviceKey(name)));
+        digest.services.push_back(summary.toWire(serviceKey(name)));
     }
 }
 
--- a/src/portpaddle/gateway/load_digest.cpp
+++ b/src/portpaddle/gateway/load_digest.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// Cuts up to @p most entries off the front of @p rest.
+/// Removes up to @p maxCount entries from the front of @p rest and returns them.
 template<typename Entry>
-std::vector<Entry> takeFront(std::span<const Entry> &rest, std::size_t most)
+std::vector<Entry> takeFront(std::span<const Entry> &rest, std::size_t maxCount)
 {
-    const std::span<const Entry> front = rest.first(std::min(most, rest.size()));
+    const std::span<const Entry> front = rest.first(std::min(maxCount, rest.size()));
     rest = rest.subspan(front.size());
     return { front.begin(), front.end() };
 }
@@ -41,14 +41,14 @@
 
 std::vector<std::uint8_t> encodeDigest(const Wire::LoadDigestT &digest)
 {
-    flatbuffers::FlatBufferBuilder builder(largestLoadDatagram);
+    flatbuffers::FlatBufferBuilder builder(maxLoadDatagramBytes);
     builder.Finish(Wire::LoadDigest::Pack(builder, &digest));
     return { builder.GetBufferPointer(), builder.GetBufferPointer() + builder.GetSize() };
 }
 
 Result<Wire::LoadDigestT> decodeDigest(std::span<const std::uint8_t> bytes)
 {
-    if (bytes.size() > largestLoadDatagram) {
+    if (bytes.size() > maxLoadDatagramBytes) {
         return Error{ ErrorCode::BadRequest, "load digest is too large", RunState::NotRun, {} };
     }
     flatbuffers::Verifier verifier(bytes.data(), bytes.size());
--- a/src/portpaddle/gateway/peer_shares.cpp
+++ b/src/portpaddle/gateway/peer_shares.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 // Digests come several times a second; a daemon that was silent for this long is not counted any more.
-constexpr std::chrono::milliseconds shareAge{ 1'500 };
-// Read between two shares of one daemon at most; more means that it started anew.
+constexpr std::chrono::milliseconds maxShareAge{ 1'500 };
+// Upper bound of the tokens between two shares of one daemon; a larger step means that its counter was restarted.
 constexpr std::uint32_t maxStepTokens = 50'000'000;
 
 } // namespace
@@ -36,38 +36,38 @@
     return *this;
 }
 
-double PeerShares::take(const std::string &daemon, const LoadShare &share, std::uint32_t readTokens, SteadyTime now)
+double PeerShares::update(const std::string &daemon, const LoadShare &share, std::uint32_t readTokens, SteadyTime now)
 {
     const auto [found, added] = entries_.try_emplace(daemon);
     Entry &entry = found->second;
-    // Unsigned, so that a counter that wraps gives the right step; one that starts anew gives a huge one and is left out.
+    // Unsigned, so that a counter that wraps gives the right step; one that was restarted gives a huge step, which is ignored.
     const std::uint32_t step = readTokens - entry.readTokens;
     if (entry.counted) {
         sum_ -= entry.share;
     }
     entry = { share, readTokens, now, true };
     sum_ += share;
-    freshUntil_ = std::min(freshUntil_, now + shareAge);
+    freshUntil_ = std::min(freshUntil_, now + maxShareAge);
     return added || step >= maxStepTokens ? 0 : step;
 }
 
 const LoadShare &PeerShares::sum(SteadyTime now) const
 {
     if (now >= freshUntil_) {
-        addUp(now);
+        recomputeSum(now);
     }
     return sum_;
 }
 
-void PeerShares::addUp(SteadyTime now) const
+void PeerShares::recomputeSum(SteadyTime now) const
 {
     sum_ = {};
     freshUntil_ = SteadyTime::max();
     for (auto &[daemon, entry] : entries_) {
-        entry.counted = now - entry.at < shareAge;
+        entry.counted = now - entry.at < maxShareAge;
         if (entry.counted) {
             sum_ += entry.share;
-            freshUntil_ = std::min(freshUntil_, entry.at + shareAge);
+            freshUntil_ = std::min(freshUntil_, entry.at + maxShareAge);
         }
     }
 }
--- a/src/portpaddle/gateway/peer_shares.h
+++ b/src/portpaddle/gateway/peer_shares.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What other daemons' requests at one upstream amount to.
+/// Sums the load that other daemons' requests put on one upstream.
 #pragma once
 
 #include "portpaddle/gateway/placement.h"
@@ -20,17 +20,17 @@
     double running = 0;
 
     LoadShare &operator+=(const LoadShare &other);
-    /// Nothing falls below zero.
+    /// Subtracts @p other; no value falls below zero.
     LoadShare &operator-=(const LoadShare &other);
 };
 
-/// Keeps the sum of all shares that are fresh, so that reading it costs the same for any number of daemons.
+/// Keeps the sum of all recent shares, so that reading it costs the same for any number of daemons.
 class PeerShares
 {
 public:
-    /// Replaces the share of @p daemon. @p readTokens counts what it ever sent to be read, and wraps. Gives what it sent since
-    /// its last share; nothing where it is new or counts anew.
-    double take(const std::string &daemon, const LoadShare &share, std::uint32_t readTokens, SteadyTime now);
+    /// Replaces the share of @p daemon. @p readTokens is the daemon's wrapping counter of tokens sent for prefill. Returns the
+    /// increase since its last share; zero for a new daemon or a restarted counter.
+    double update(const std::string &daemon, const LoadShare &share, std::uint32_t readTokens, SteadyTime now);
     const LoadShare &sum(SteadyTime now) const;
 
 private:
@@ -39,15 +39,15 @@
         LoadShare share;
         std::uint32_t readTokens = 0;
         SteadyTime at;
-        /// It is part of the sum.
+        /// Whether the share is part of the sum.
         bool counted = false;
     };
 
-    void addUp(SteadyTime now) const;
+    void recomputeSum(SteadyTime now) const;
 
     mutable std::unordered_map<std::string, Entry> entries_;
     mutable LoadShare sum_;
-    /// No entry of the sum is older than allowed before this.
+    /// Before this time no entry of the sum is too old.
     mutable SteadyTime freshUntil_ = SteadyTime::max();
 };
 
--- a/src/portpaddle/gateway/placement.h
+++ b/src/portpaddle/gateway/placement.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Where one request goes: a pure function of what is known of upstreams and other regions.
+/// Chooses the upstream or region for a request: a pure function of the known state of upstreams and other regions.
 #pragma once
 
 #include "portpaddle/interfaces/random_source.h"
@@ -15,155 +15,157 @@
 
 namespace Portpaddle {
 
-/// Classes in which upstreams read prompts: all of one before the next.
+/// Scheduling classes of requests: an upstream prefills all prompts of one class before those of the next.
 enum class Urgency { Urgent, Usual, Patient, Late };
 inline constexpr std::size_t urgencyCount = 4;
 std::string_view nameOf(Urgency urgency);
-/// The class of requests whose route ranks at @p rank among the priorities in force, zero first.
+/// Returns the class for a route's @p rank among the priorities in force; rank 0 is the most urgent.
 Urgency urgencyOfRank(unsigned rank);
 
-/// Prompt tokens still to read, by urgency.
+/// Prompt tokens that are still to be prefilled, by urgency.
 using PendingTokens = std::array<double, urgencyCount>;
 
-/// What is known of one upstream of the own region. Times in milliseconds.
+/// State of one upstream of the own region. Times in milliseconds.
 struct UpstreamCandidate
 {
     std::uint32_t index = 0;
-    /// Prompt tokens of all requests sent there that it has still to read.
+    /// Prompt tokens of all requests sent to the upstream that it has still to prefill.
     PendingTokens pendingTokens{};
-    /// Requests there, of all daemons.
+    /// Requests in progress at the upstream, from all daemons.
     double running = 0;
     double slots = 1;
-    /// Memory in tokens that these requests need, and all there is; zero where unknown.
+    /// Memory in tokens that these requests need, and the upstream's total; zero where unknown.
     double memoryUsed = 0;
     double memoryTotal = 0;
-    /// Leading tokens of this prompt that it probably keeps.
+    /// Leading tokens of this prompt that are probably in the upstream's prefix cache.
     double cachedTokens = 0;
-    /// Leading tokens that it can have fetched from another engine's memory, those that it keeps included.
+    /// Leading tokens that are cached here or that the upstream can fetch from another engine's memory.
     double fetchableTokens = 0;
-    /// How long that takes.
+    /// Duration of that fetch.
     double fetchMs = 0;
-    /// Prompt tokens that engines of its kind read in a millisecond.
+    /// Prompt tokens that engines of this kind prefill in a millisecond.
     double tokensPerMs = 1;
-    /// How many times longer than predicted its first tokens take.
+    /// Measured time to the first token as a multiple of the prediction.
     double slowness = 1;
-    /// Between two tokens of one stream there, as seen lately; zero where nothing was.
+    /// Recent time between two tokens of one stream at the upstream; zero where none was measured.
     double tokenMs = 0;
-    /// How long a request occupies one of its slots.
+    /// How long a request occupies a slot.
     double serviceMs = 1;
     /// Share of recent answers that failed, 0 to 1.
     double failureShare = 0;
-    /// No kept connection is free.
+    /// Whether a new connection has to be opened because no pooled one is idle.
     bool needsConnection = false;
-    /// It takes fewer requests for now than it could, whoever asks.
+    /// Whether a rate limit named by the upstream is in force, for all daemons together.
     bool limited = false;
-    /// Nothing may be sent there now.
+    /// Why no request may be sent to the upstream now.
     ExclusionReason exclusionReason = ExclusionReason::None;
 };
 
-/// What another region told of a service.
+/// Summary of a service that another region reported.
 struct RegionCandidate
 {
     std::uint32_t index = 0;
-    /// How long a new request of the same urgency waits there before its own prompt is read.
+    /// How long a new request of the same urgency waits there before its own prompt is prefilled.
     double waitMs = 0;
-    /// Prompt tokens that one upstream there reads in a millisecond.
+    /// Prompt tokens that one upstream there prefills in a millisecond.
     double tokensPerMs = 1;
-    /// Requests on one upstream there.
+    /// Mean number of requests in progress on one upstream there.
     double running = 0;
-    /// Leading tokens of this prompt that an upstream there probably keeps.
+    /// Leading tokens of this prompt that are probably cached by an upstream there.
     double cachedTokens = 0;
-    /// Upstreams that take requests there.
+    /// Number of upstreams there that take requests.
     double upstreams = 0;
-    /// Between two tokens of one stream there.
+    /// Time between two tokens of one stream there.
     double tokenMs = 0;
-    /// Both ways of the link.
+    /// Round-trip time of the link.
     double distanceMs = 0;
 };
 
-/// What matters of the request.
+/// Properties of a request that the placement depends on.
 struct PlacementRequest
 {
     double promptTokens = 0;
-    /// Leading ones that other prompts share.
+    /// Leading tokens that other prompts share.
     double sharedTokens = 0;
     double memoryTokens = 0;
     Urgency urgency = Urgency::Usual;
-    /// It is read last where it misses its target anyway.
+    /// Whether the request is prefilled last where it misses its target anyway.
     bool lateLast = true;
-    /// What remains of the target.
-    double targetLeftMs = 0;
-    /// The target as it is for a new request.
+    /// Time left until the target latency.
+    double remainingTargetMs = 0;
+    /// The target latency of a new request.
     double targetMs = std::numeric_limits<double>::infinity();
-    /// Tokens that it is expected to make still.
+    /// Output tokens that the request is still expected to generate.
     double tokensOut = 0;
-    /// Its caller has a part of the answer already: it is not refused for being late, since that would cut the answer off.
-    bool begun = false;
-    /// How much longer its caller waits for the first token, and for the whole answer.
-    double firstTokenBoundMs = std::numeric_limits<double>::infinity();
-    double wholeBoundMs = std::numeric_limits<double>::infinity();
+    /// Whether the caller has received a part of the answer: such a request is not refused for being late, since that would cut
+    /// the answer off.
+    bool answerStarted = false;
+    /// How much longer the caller waits for the first token, and for the whole answer.
+    double firstTokenTimeoutMs = std::numeric_limits<double>::infinity();
+    double completionTimeoutMs = std::numeric_limits<double>::infinity();
 };
 
-/// Costs that the choice weighs.
+/// Costs that the placement adds to the predicted time to the first token.
 struct PlacementWeights
 {
-    /// What sending a request to another region costs besides time, as milliseconds of delay.
+    /// Cost of sending a request to another region in addition to its time, in milliseconds of delay.
     double awayMs = 20;
-    /// What a failed answer costs, as milliseconds of delay.
+    /// Cost of a failed answer, in milliseconds of delay.
     double failureMs = 1'500;
-    /// What reading shared parts of prompts again costs besides this request's own time, as a multiple of the time that it takes:
-    /// an engine's memory holds few of them, and each that is read pushes out another.
+    /// Cost of prefilling shared parts of a prompt again in addition to this request's own time, as a multiple of that time: an
+    /// engine's prefix cache holds few parts, and each part that is prefilled evicts another.
     double rereadingShare = 20;
-    /// What reading costs for each request that runs there, as a multiple of the time that it takes: its tokens wait behind each
-    /// piece of a prompt.
+    /// Cost of a prefill for each request in progress on the upstream, as a multiple of the prefill time: the tokens of those
+    /// requests wait behind each chunk of the prompt.
     double readingPerRunning = 0.4;
-    /// What fetching kept parts from another engine costs besides this request's own time, as a multiple of the time it takes:
-    /// bytes on the engines' links, and the same parts held twice.
+    /// Cost of fetching cached parts from another engine in addition to this request's own time, as a multiple of the fetch time:
+    /// the fetch uses the engines' links, and the same parts are held twice.
     double fetchingShare = 4.0;
-    /// What a new connection costs the upstream, as milliseconds of delay; its handshake takes a slot for about a millisecond.
+    /// Cost of a new connection to the upstream, in milliseconds of delay; the handshake occupies a slot for about a millisecond.
     double connectMs = 40;
-    /// What missing the target costs, as milliseconds of delay.
+    /// Cost of missing the target latency, in milliseconds of delay.
     double lateMs = 1'500;
-    /// Scores are blurred by up to this many milliseconds for each other daemon of the region, so that daemons that know the same
-    /// do not all choose the same before they hear of each other.
+    /// Upper bound of the random delay added to scores, in milliseconds for each other daemon of the region: daemons with the
+    /// same data must not all choose the same upstream before they receive each other's digests.
     double spreadMs = 5;
-    /// What a stream costs for each millisecond that it takes after its first token: it may break with its upstream.
+    /// Cost of each millisecond that a stream takes after its first token: the stream breaks if its upstream fails.
     double streamingShare = 0;
-    /// A request whose first token is predicted beyond this multiple of its target, or of the time that its caller waits, is
-    /// refused.
+    /// A request is refused when the predicted time to its first token exceeds this multiple of its target, or the time that its
+    /// caller still waits.
     double firstTokenBound = 4.0;
-    /// A stream is refused where its tokens, predicted to take this many times longer, would not all come before its deadline.
+    /// A stream is refused when its tokens, taking this many times longer than predicted, would not all arrive before its
+    /// deadline.
     double wholeMargin = 1.0;
 };
 
-/// The outcome; times in milliseconds.
+/// The result of place(); times in milliseconds.
 struct Placement
 {
     Verdict verdict = Verdict::Refuse;
     std::uint32_t index = 0;
     double predictedMs = 0;
-    /// Leading tokens that are kept there, or fetched from another engine.
+    /// Leading tokens that are cached at the chosen upstream, or fetched from another engine.
     double keptTokens = 0;
-    /// Some of them are to be fetched.
+    /// Whether some of them are to be fetched.
     bool fetches = false;
-    /// Late where the target is missed anyway, so that others still meet theirs.
+    /// Late where the target is missed anyway, so that other requests still meet theirs.
     Urgency urgency = Urgency::Usual;
     ExclusionReason reason = ExclusionReason::NoCapacity;
 };
 
-/// Tokens that @p candidate reads before those of a new request of @p urgency.
+/// Returns the tokens that @p candidate prefills before those of a new request of @p urgency.
 double tokensAhead(const UpstreamCandidate &candidate, Urgency urgency);
 
-/// Leading tokens that @p candidate does not have to read.
+/// Returns the leading tokens that @p candidate does not have to prefill.
 double keptTokens(const UpstreamCandidate &candidate);
 
-/// Time from sending to the first token at @p candidate.
+/// Returns the predicted time from sending to the first token at @p candidate.
 double predictedFirstTokenMs(const UpstreamCandidate &candidate, const PlacementRequest &request);
 
-/// Time between two tokens of a stream at @p candidate.
+/// Returns the predicted time between two tokens of a stream at @p candidate.
 double predictedTokenMs(const UpstreamCandidate &candidate);
 
-/// Decides between the upstreams of the own region and other regions.
+/// Chooses between the upstreams of the own region and other regions.
 Placement place(const PlacementRequest &request, std::span<const UpstreamCandidate> upstreams,
                 std::span<const RegionCandidate> regions, const PlacementWeights &weights, RandomSource &random);
 
--- a/src/portpaddle/gateway/policy_settings.cpp
+++ b/src/portpaddle/gateway/policy_settings.cpp
@@ -17,7 +17,7 @@
 {
     const char *name;
     double PlacementWeights::*member;
-    double most;
+    double max;
     const char *meaning;
 };
 
@@ -28,50 +28,53 @@
     const char *meaning;
 };
 
-// Delays of a minute outweigh everything; multiples of a thousand do as well.
+// A delay of a minute outweighs everything else, and so does a multiple of a thousand.
 constexpr double maxMs = 60'000;
 constexpr double maxMultiple = 1'000;
 
 constexpr std::array numbers{
     NumberSetting{ "away_ms", &PlacementWeights::awayMs, maxMs,
-                   "What sending a request to another region costs besides its time, as milliseconds of delay." },
+                   "Cost of sending a request to another region in addition to its time, in milliseconds of delay." },
     NumberSetting{ "connect_ms", &PlacementWeights::connectMs, maxMs,
-                   "What a new connection costs its upstream, as milliseconds of delay." },
-    NumberSetting{ "failure_ms", &PlacementWeights::failureMs, maxMs, "What a failed answer costs, as milliseconds of delay." },
-    NumberSetting{ "fetching_share", &PlacementWeights::fetchingShare, maxMultiple,
-                   "What fetching kept parts of a prompt from another engine costs besides its time, as a multiple of it." },
-    NumberSetting{ "first_token_bound", &PlacementWeights::firstTokenBound, maxMultiple,
-                   "A request whose first token is predicted beyond this multiple of its target is refused at once." },
-    NumberSetting{ "late_ms", &PlacementWeights::lateMs, maxMs, "What missing the target costs, as milliseconds of delay." },
+                   "Cost of a new connection to an upstream, in milliseconds of delay." },
+    NumberSetting{ "failure_ms", &PlacementWeights::failureMs, maxMs, "Cost of a failed answer, in milliseconds of delay." },
+    NumberSetting{
+        "fetching_share", &PlacementWeights::fetchingShare, maxMultiple,
+        "Cost of fetching cached parts of a prompt from another engine in addition to its time, as a multiple of that time." },
+    NumberSetting{
+        "first_token_bound", &PlacementWeights::firstTokenBound, maxMultiple,
+        "A request is refused at once when the predicted time to its first token exceeds this multiple of its target." },
+    NumberSetting{ "late_ms", &PlacementWeights::lateMs, maxMs, "Cost of missing the target latency, in milliseconds of delay." },
     NumberSetting{ "reading_per_running", &PlacementWeights::readingPerRunning, maxMultiple,
-                   "What reading a prompt costs each request that runs there, as a multiple of the time it takes." },
+                   "Cost of a prefill for each request in progress on the upstream, as a multiple of the prefill time." },
     NumberSetting{ "rereading_share", &PlacementWeights::rereadingShare, maxMultiple,
-                   "What reading shared parts of a prompt again costs besides its time, as a multiple of it." },
+                   "Cost of prefilling shared parts of a prompt again in addition to its time, as a multiple of that time." },
     NumberSetting{ "spread_ms", &PlacementWeights::spreadMs, maxMs,
-                   "By how much scores are blurred for each other daemon of the region, as milliseconds of delay." },
+                   "Upper bound of the random delay added to scores for each other daemon of the region, in milliseconds." },
     NumberSetting{ "streaming_share", &PlacementWeights::streamingShare, maxMultiple,
-                   "What a stream costs for the time that it takes after its first token, as a multiple of it." },
+                   "Cost of a stream for the time that it takes after its first token, as a multiple of that time." },
     NumberSetting{ "whole_margin", &PlacementWeights::wholeMargin, maxMultiple,
-                   "A stream is refused at once where, its tokens taking so many times longer than predicted, it would not end "
-                   "before its deadline." },
+                   "A stream is refused at once when its tokens, taking this many times longer than predicted, would not all "
+                   "arrive before its deadline." },
 };
 
 constexpr std::array switches{
     SwitchSetting{ "avoid_failing", &PolicySettings::avoidFailing,
                    "Upstreams that failed several times in a row are avoided for a while." },
     SwitchSetting{ "avoid_silent", &PolicySettings::avoidSilent,
-                   "Upstreams that owe answers and say nothing are avoided until they are heard." },
-    SwitchSetting{ "cold_at_home", &PolicySettings::coldAtHome, "Cold upstreams are left to callers of their own region." },
-    SwitchSetting{ "fetching", &PolicySettings::fetching, "Engines fetch kept parts of prompts from each other." },
+                   "Upstreams that have requests in progress and send nothing are avoided until they send something." },
+    SwitchSetting{ "cold_at_home", &PolicySettings::reserveColdUpstreams,
+                   "Cold upstreams are reserved for callers of their own region." },
+    SwitchSetting{ "fetching", &PolicySettings::fetching, "Engines fetch cached parts of prompts from each other." },
     SwitchSetting{ "late_last", &PolicySettings::lateLast,
-                   "Requests that miss their target anyway are read after those that can meet it." },
+                   "Requests that miss their target anyway are prefilled after those that can meet it." },
     SwitchSetting{ "learned_slowness", &PolicySettings::learnedSlowness,
-                   "The time of first tokens against its prediction is learned by upstream." },
+                   "The ratio of measured to predicted time to the first token is learned by upstream." },
     SwitchSetting{ "moves", &PolicySettings::moves, "Runs are moved away from upstreams that announce their end." },
-    SwitchSetting{ "prompt_homes", &PolicySettings::promptHomes,
-                   "Shared parts of prompts have a region and upstreams where they are at home." },
-    SwitchSetting{ "told_parts", &PolicySettings::toldParts,
-                   "Daemons tell each other which parts of prompts they placed where." },
+    SwitchSetting{ "prompt_homes", &PolicySettings::prefixAffinity,
+                   "Shared parts of prompts have a preferred region and preferred upstreams (prefix affinity)." },
+    SwitchSetting{ "told_parts", &PolicySettings::announceParts,
+                   "Daemons announce to each other which parts of prompts they placed where." },
 };
 
 Error invalid(std::string message)
@@ -85,22 +88,22 @@
     return std::find_if(table.begin(), table.end(), [&name](const auto &entry) { return name == entry.name; });
 }
 
-Status take(PolicySettings &settings, const std::string &name, const nlohmann::json &value)
+Status applySetting(PolicySettings &settings, const std::string &name, const nlohmann::json &value)
 {
     const auto number = findByName(numbers, name);
     if (number != numbers.end()) {
-        if (!value.is_number() || value.get<double>() < 0 || value.get<double>() > number->most) {
-            return invalid(fmt::format("{} has to be a number from 0 to {}", name, number->most));
+        if (!value.is_number() || value.get<double>() < 0 || value.get<double>() > number->max) {
+            return invalid(fmt::format("{} must be a number from 0 to {}", name, number->max));
         }
         settings.weights.*(number->member) = value.get<double>();
         return success();
     }
     const auto flag = findByName(switches, name);
     if (flag == switches.end()) {
-        return invalid("there is no setting " + name);
+        return invalid("unknown setting " + name);
     }
     if (!value.is_boolean()) {
-        return invalid(name + " has to be true or false");
+        return invalid(name + " must be true or false");
     }
     settings.*(flag->member) = value.get<bool>();
     return success();
@@ -113,7 +116,7 @@
     const PolicySettings defaults;
     std::vector<PolicySettingDescription> catalogue;
     for (const NumberSetting &entry : numbers) {
-        catalogue.push_back({ entry.name, fmt::format("number from 0 to {}", entry.most),
+        catalogue.push_back({ entry.name, fmt::format("number from 0 to {}", entry.max),
                               fmt::format("{}", defaults.weights.*(entry.member)), entry.meaning });
     }
     for (const SwitchSetting &entry : switches) {
@@ -126,13 +129,13 @@
 Result<PolicySettings> parsePolicy(const nlohmann::json &json)
 {
     if (!json.is_object()) {
-        return invalid("it has to be an object");
+        return invalid("must be an object");
     }
     PolicySettings settings;
     for (const auto &[name, value] : json.items()) {
-        const Status taken = take(settings, name, value);
-        if (!isOk(taken)) {
-            return errorOf(taken);
+        const Status applied = applySetting(settings, name, value);
+        if (!isOk(applied)) {
+            return errorOf(applied);
         }
     }
     return settings;
--- a/src/portpaddle/gateway/policy_settings.h
+++ b/src/portpaddle/gateway/policy_settings.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// How a daemon weighs and which mechanisms it uses; each has a name under which an operator changes it.
+/// Weights and switches of the placement policy; an operator changes each of them by name.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -14,28 +14,28 @@
 
 namespace Portpaddle {
 
-/// All on unless an operator says otherwise. docs/settings.md lists the names.
+/// All mechanisms are on by default. docs/settings.md lists the names.
 struct PolicySettings
 {
     PlacementWeights weights;
-    /// Shared parts of prompts have regions and upstreams where they are at home.
-    bool promptHomes = true;
-    /// Upstreams fetch kept parts of prompts from each other.
+    /// Shared parts of prompts have a preferred region and preferred upstreams (prefix affinity).
+    bool prefixAffinity = true;
+    /// Engines fetch cached parts of prompts from each other.
     bool fetching = true;
-    /// Requests that miss their target anyway are read after those that can meet it.
+    /// Requests that miss their target anyway are prefilled after those that can meet it.
     bool lateLast = true;
-    /// The time of first tokens against its prediction is learned by upstream.
+    /// The ratio of measured to predicted time to the first token is learned by upstream.
     bool learnedSlowness = true;
     /// Upstreams that failed several times in a row are avoided for a while.
     bool avoidFailing = true;
-    /// Upstreams that owe answers and say nothing are avoided until they are heard.
+    /// Upstreams that have requests in progress and send nothing are avoided until they send something.
     bool avoidSilent = true;
-    /// Daemons tell each other which parts of prompts they placed where.
-    bool toldParts = true;
+    /// Daemons announce to each other which parts of prompts they placed where.
+    bool announceParts = true;
     /// Runs are moved away from upstreams that announce their end.
     bool moves = true;
-    /// Cold upstreams are left to callers of their own region.
-    bool coldAtHome = true;
+    /// Cold upstreams are reserved for callers of their own region.
+    bool reserveColdUpstreams = true;
 };
 
 /// One setting as the reference page shows it.
@@ -48,10 +48,10 @@
     std::string meaning;
 };
 
-/// All settings by name.
+/// Returns all settings, sorted by name.
 std::vector<PolicySettingDescription> policyCatalogue();
 
-/// Reads what @p json sets, by name; SettingsInvalid for an unknown name, a wrong type or a number out of its bounds.
+/// Parses the settings in @p json; SettingsInvalid for an unknown name, a wrong type or a number out of its bounds.
 Result<PolicySettings> parsePolicy(const nlohmann::json &json);
 
 } // namespace Portpaddle
--- a/src/portpaddle/gateway/prefix_memory.cpp
+++ b/src/portpaddle/gateway/prefix_memory.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A few hundred kilobytes for each engine; older parts have left its memory long before.
+// Takes a few hundred kilobytes for each engine; older parts were evicted from its memory long before.
 constexpr std::size_t maxRememberedParts = 8'192;
 
 } // namespace
@@ -31,7 +31,7 @@
     return age;
 }
 
-/// Drops the older half.
+/// Removes the older half of the parts.
 void PrefixMemory::trim()
 {
     std::vector<double> clocks;
--- a/src/portpaddle/gateway/prefix_memory.h
+++ b/src/portpaddle/gateway/prefix_memory.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Which parts of prompts lie in the memory of engines.
+/// Estimates which parts of prompts are in the prefix caches of engines.
 #pragma once
 
 #include "portpaddle/gateway/caller_request.h"
@@ -12,17 +12,18 @@
 
 namespace Portpaddle {
 
-/// Remembers which parts of prompts an upstream read lately. Ages are counted in tokens read since, as its memory evicts.
+/// Remembers which parts of prompts an upstream used recently. Ages are counted in tokens prefilled since, because the upstream
+/// evicts cached parts in that measure.
 class PrefixMemory
 {
 public:
-    /// The upstream read @p tokens that it did not keep: whatever was not used since is older by as much.
+    /// Records that the upstream prefilled @p tokens that were not cached: all other parts age by as much.
     void advance(double tokens);
-    /// The part was used just now. Gives its age in tokens before, infinite for one that is not remembered.
+    /// Records that the part was used now. Returns its previous age in tokens; infinite for a part that is not remembered.
     double note(std::uint64_t chainHash);
-    /// Leading tokens of @p parts that should still be there when it keeps @p capacityTokens.
+    /// Returns the leading tokens of @p parts that should still be cached in an upstream with room for @p capacityTokens.
     double keptTokens(const std::vector<PromptPart> &parts, double capacityTokens) const;
-    /// All tokens that it ever read, as far as is known.
+    /// Returns the total of the tokens that the upstream is known to have prefilled.
     double clock() const
     {
         return clock_;
@@ -31,7 +32,7 @@
 private:
     void trim();
 
-    /// When each part was used last.
+    /// The value of the clock when each part was last used.
     std::unordered_map<std::uint64_t, double> usedAt_;
     double clock_ = 0;
 };
--- a/src/portpaddle/gateway/region_table.cpp
+++ b/src/portpaddle/gateway/region_table.cpp
@@ -13,25 +13,26 @@
 
 namespace {
 
-// Both ways between regions; links there take some 55 ms one way.
+// Round-trip time between regions; links take some 55 ms one way.
 constexpr double distanceMs = 115;
-// News of another region come a few times a second; older ones mean that the link is cut.
-constexpr std::chrono::milliseconds newsAge{ 1'500 };
-constexpr std::chrono::milliseconds heardAge{ 2'000 };
-constexpr std::chrono::milliseconds shunTime{ 1'000 };
-// News of a daemon that is new on the list go round within about two seconds, in small fleets too, where daemons tell in turns.
-constexpr std::chrono::milliseconds firstNewsAge{ 3'000 };
-// Each request asks for every region; walking a few hundred daemons each time took most of a choice.
-constexpr std::chrono::milliseconds usableAge{ 50 };
-// Datagrams are lost now and then and small VMs pause; this many in a row are not.
-constexpr int missedDigests = 7;
-constexpr std::chrono::milliseconds shortestSilence{ 800 };
-// The memory of parts counts only shared ones here; those that belong to one request push them out of the engines' memory. At
-// about half of the tokens each, this part of it remains for shared ones.
+// Summaries of another region come a few times a second; an older one means that the link is cut.
+constexpr std::chrono::milliseconds maxSummaryAge{ 1'500 };
+constexpr std::chrono::milliseconds livenessTimeout{ 2'000 };
+constexpr std::chrono::milliseconds avoidanceTime{ 1'000 };
+// Digests of a newly listed daemon reach all others within about two seconds, also in small fleets, where daemons take turns to
+// send.
+constexpr std::chrono::milliseconds firstDigestTimeout{ 3'000 };
+// Each request asks for every region; iterating over a few hundred daemons each time took most of the time of a choice.
+constexpr std::chrono::milliseconds usableCacheTime{ 50 };
+// Datagrams are lost now and then and small VMs pause, but not for as many digests in a row as this.
+constexpr int maxMissedDigests = 7;
+constexpr std::chrono::milliseconds minSilenceBound{ 800 };
+// The table of a region's prompt parts counts only shared parts; parts that belong to one request also take memory of the engines
+// and evict shared ones. Each kind makes up about half of the tokens, so this share of the memory remains for shared parts.
 constexpr double sharedPartShare = 0.3;
-// A daemon that vanished may be back within this time and spend its share of a bound at once.
-constexpr std::chrono::milliseconds rememberAge{ 20'000 };
-// Ten times the daemons of the largest fleet planned; datagrams in the name of others are dropped.
+// A daemon that vanished may return within this time and spend its share of a bound at once.
+constexpr std::chrono::milliseconds countedPeerAge{ 20'000 };
+// Ten times the daemons of the largest planned fleet; datagrams under further names are dropped.
 constexpr std::size_t maxPeers = 4'096;
 
 } // namespace
@@ -52,11 +53,11 @@
         return;
     }
     Peer &peer = peers_[digest.daemon];
-    if (digest.sequence <= peer.sequence && now - peer.sequenceAt < heardAge) {
+    if (digest.sequence <= peer.sequence && now - peer.sequenceAt < livenessTimeout) {
         return;
     }
-    if (peer.phase != digest.phase || now - peer.heard > heardAge) {
-        usable_.clear();
+    if (peer.phase != digest.phase || now - peer.heard > livenessTimeout) {
+        usableDaemons_.clear();
     }
     peer.region = digest.region;
     peer.sequence = digest.sequence;
@@ -71,21 +72,21 @@
 void RegionTable::takeRegion(const std::string &name, const std::vector<Wire::ServiceWait> &services,
                              const std::vector<Wire::PlacedPart> &placed, SteadyTime now)
 {
-    // Whoever can send a datagram could name any number of regions.
+    // Any sender of a datagram could name any number of regions.
     if (!listedRegions_.contains(name)) {
         return;
     }
     Region &region = regions_[name];
     for (const Wire::ServiceWait &service : services) {
         const double patientWaitMs = service.patient_wait_ms();
-        ServiceNews news;
-        news.waitMs = { double(service.urgent_wait_ms()), double(service.usual_wait_ms()), patientWaitMs, patientWaitMs };
-        news.upstreams = service.upstreams();
-        news.tokensPerMs = service.tokens_per_ms();
-        news.running = service.running();
-        news.tokenMs = service.token_ms();
-        news.at = now;
-        region.services[service.service()] = news;
+        ServiceState summary;
+        summary.waitMs = { double(service.urgent_wait_ms()), double(service.usual_wait_ms()), patientWaitMs, patientWaitMs };
+        summary.upstreams = service.upstreams();
+        summary.tokensPerMs = service.tokens_per_ms();
+        summary.running = service.running();
+        summary.tokenMs = service.token_ms();
+        summary.at = now;
+        region.services[service.service()] = summary;
     }
     for (const Wire::PlacedPart &part : placed) {
         region.prefixes.advance(part.tokens());
@@ -95,16 +96,16 @@
 
 void RegionTable::setDaemons(const FleetView &view, SteadyTime now)
 {
-    std::unordered_map<std::uint32_t, Named> names;
+    std::unordered_map<std::uint32_t, ListedDaemon> listed;
     listedRegions_.clear();
     for (const DaemonRecord &daemon : view.daemons) {
         listedRegions_.insert(daemon.region);
         const std::uint32_t key = memberKey(daemon.id);
-        const auto known = names_.find(key);
-        names[key] = { daemon.id, daemon.region, known == names_.end() ? now : known->second.since };
+        const auto known = listedDaemons_.find(key);
+        listed[key] = { daemon.id, daemon.region, known == listedDaemons_.end() ? now : known->second.since };
     }
-    names_ = std::move(names);
-    usable_.clear();
+    listedDaemons_ = std::move(listed);
+    usableDaemons_.clear();
 }
 
 const std::set<std::string> &RegionTable::listedRegions() const
@@ -115,17 +116,17 @@
 void RegionTable::takeMembers(std::span<const Wire::MemberNews> members, SteadyTime now)
 {
     for (const Wire::MemberNews &member : members) {
-        const auto name = names_.find(member.daemon());
+        const auto name = listedDaemons_.find(member.daemon());
         const SteadyTime heard = now - std::chrono::milliseconds(member.age_ms());
-        if (name == names_.end()) {
+        if (name == listedDaemons_.end()) {
             continue;
         }
         Peer &peer = peers_[name->second.id];
         if (heard <= peer.heard) {
             continue;
         }
-        if (peer.phase != member.phase() || heard - peer.heard > heardAge) {
-            usable_.clear();
+        if (peer.phase != member.phase() || heard - peer.heard > livenessTimeout) {
+            usableDaemons_.clear();
         }
         peer.region = name->second.region;
         peer.phase = member.phase();
@@ -136,7 +137,7 @@
 std::optional<SteadyTime> RegionTable::heardDirectly(const std::string &daemon, SteadyTime now) const
 {
     const auto found = peers_.find(daemon);
-    const bool fresh = found != peers_.end() && now - found->second.sequenceAt < heardAge;
+    const bool fresh = found != peers_.end() && now - found->second.sequenceAt < livenessTimeout;
     return fresh ? std::optional(found->second.sequenceAt) : std::nullopt;
 }
 
@@ -144,7 +145,7 @@
 {
     unsigned count = 1;
     for (const auto &[id, peer] : peers_) {
-        count += peer.region == ownRegion_ && now - peer.heard < rememberAge ? 1 : 0;
+        count += peer.region == ownRegion_ && now - peer.heard < countedPeerAge ? 1 : 0;
     }
     daemonsInOwnRegion_ = count;
 }
@@ -156,8 +157,8 @@
 
 void RegionTable::unreachable(const std::string &daemon, SteadyTime now)
 {
-    peers_[daemon].shunnedUntil = now + shunTime;
-    usable_.clear();
+    peers_[daemon].avoidedUntil = now + avoidanceTime;
+    usableDaemons_.clear();
 }
 
 void RegionTable::setDigestInterval(std::chrono::milliseconds interval)
@@ -167,19 +168,19 @@
 
 std::chrono::milliseconds RegionTable::silenceBound() const
 {
-    return std::clamp<std::chrono::milliseconds>(digestInterval_ * missedDigests, shortestSilence, heardAge);
+    return std::clamp<std::chrono::milliseconds>(digestInterval_ * maxMissedDigests, minSilenceBound, livenessTimeout);
 }
 
 bool RegionTable::fellSilent(const std::string &daemon, SteadyTime now) const
 {
     const auto found = peers_.find(daemon);
     if (found == peers_.end()) {
-        // Its record may outlive it by the rest of its lease.
-        const auto name = names_.find(memberKey(daemon));
-        return name != names_.end() && now - name->second.since > firstNewsAge;
+        // The record may outlive the daemon by the rest of its lease.
+        const auto name = listedDaemons_.find(memberKey(daemon));
+        return name != listedDaemons_.end() && now - name->second.since > firstDigestTimeout;
     }
     const bool near = found->second.region == ownRegion_;
-    return now - found->second.heard > (near ? silenceBound() : heardAge);
+    return now - found->second.heard > (near ? silenceBound() : livenessTimeout);
 }
 
 Wire::DaemonPhase RegionTable::phaseOf(const std::string &daemon) const
@@ -195,21 +196,21 @@
     std::vector<RegionCandidate> result;
     const std::uint64_t key = serviceKey(service);
     for (const auto &[region, known] : regions_) {
-        const auto news = known.services.find(key);
-        if (news == known.services.end() || now - news->second.at > newsAge || news->second.upstreams <= 0
-            || news->second.tokensPerMs <= 0) {
+        const auto summary = known.services.find(key);
+        if (summary == known.services.end() || now - summary->second.at > maxSummaryAge || summary->second.upstreams <= 0
+            || summary->second.tokensPerMs <= 0) {
             continue;
         }
-        const double capacity = sharedPartShare * static_cast<double>(spec.memoryTokens) * news->second.upstreams;
+        const double capacity = sharedPartShare * static_cast<double>(spec.memoryTokens) * summary->second.upstreams;
         RegionCandidate candidate;
         candidate.index = static_cast<std::uint32_t>(regionNames.size());
-        candidate.waitMs = news->second.waitMs.at(static_cast<std::size_t>(urgency))
-            + news->second.sentSince / (news->second.tokensPerMs * news->second.upstreams);
+        candidate.waitMs = summary->second.waitMs.at(static_cast<std::size_t>(urgency))
+            + summary->second.forwardedTokens / (summary->second.tokensPerMs * summary->second.upstreams);
         candidate.cachedTokens = known.prefixes.keptTokens(prompt.parts, capacity);
-        candidate.upstreams = news->second.upstreams;
-        candidate.tokensPerMs = news->second.tokensPerMs;
-        candidate.running = news->second.running;
-        candidate.tokenMs = news->second.tokenMs;
+        candidate.upstreams = summary->second.upstreams;
+        candidate.tokensPerMs = summary->second.tokensPerMs;
+        candidate.running = summary->second.running;
+        candidate.tokenMs = summary->second.tokenMs;
         candidate.distanceMs = distanceMs;
         regionNames.push_back(region);
         result.push_back(candidate);
@@ -220,21 +221,21 @@
 const DaemonRecord *RegionTable::pick(const FleetView &view, const std::string &region, SteadyTime now,
                                       RandomSource &random) const
 {
-    const std::vector<const DaemonRecord *> &daemons = usable(view, region, now);
+    const std::vector<const DaemonRecord *> &daemons = usableDaemons(view, region, now);
     return daemons.empty() ? nullptr : daemons[random.below(daemons.size())];
 }
 
-const std::vector<const DaemonRecord *> &RegionTable::usable(const FleetView &view, const std::string &region,
-                                                             SteadyTime now) const
+const std::vector<const DaemonRecord *> &RegionTable::usableDaemons(const FleetView &view, const std::string &region,
+                                                                    SteadyTime now) const
 {
-    Usable &known = usable_[region];
-    const bool fresh = known.view == &view && now >= known.at && now - known.at < usableAge;
+    UsableDaemons &known = usableDaemons_[region];
+    const bool fresh = known.view == &view && now >= known.at && now - known.at < usableCacheTime;
     if (fresh) {
         return known.daemons;
     }
     known = { &view, now, {} };
     for (const DaemonRecord &daemon : view.daemons) {
-        if (daemon.region == region && !daemon.leaving && isHeard(daemon.id, now)
+        if (daemon.region == region && !daemon.leaving && isReachable(daemon.id, now)
             && phaseOf(daemon.id) == Wire::DaemonPhase::Serving) {
             known.daemons.push_back(&daemon);
         }
@@ -249,7 +250,7 @@
     std::vector<const DaemonRecord *> stopping;
     for (const DaemonRecord &daemon : view.daemons) {
         const Wire::DaemonPhase phase = phaseOf(daemon.id);
-        if (daemon.region != ending.region || daemon.id == ending.id || !isHeard(daemon.id, now)
+        if (daemon.region != ending.region || daemon.id == ending.id || !isReachable(daemon.id, now)
             || phase == Wire::DaemonPhase::Starting) {
             continue;
         }
@@ -260,16 +261,16 @@
     return others.empty() ? nullptr : others[random.below(others.size())];
 }
 
-bool RegionTable::isHeard(const std::string &daemon, SteadyTime now) const
+bool RegionTable::isReachable(const std::string &daemon, SteadyTime now) const
 {
     const auto peer = peers_.find(daemon);
-    return peer != peers_.end() && now - peer->second.heard < heardAge && peer->second.shunnedUntil < now;
+    return peer != peers_.end() && now - peer->second.heard < livenessTimeout && peer->second.avoidedUntil < now;
 }
 
-void RegionTable::sentAway(const std::string &region, const std::string &service, const PromptFacts &prompt)
+void RegionTable::recordForwarded(const std::string &region, const std::string &service, const PromptFacts &prompt)
 {
     Region &known = regions_[region];
-    known.services[serviceKey(service)].sentSince += prompt.promptTokens;
+    known.services[serviceKey(service)].forwardedTokens += prompt.promptTokens;
     for (std::size_t index = 0; index + 1 < prompt.parts.size(); ++index) {
         known.prefixes.advance(prompt.parts[index].tokens);
         known.prefixes.note(prompt.parts[index].chainHash);
--- a/src/portpaddle/gateway/region_table.h
+++ b/src/portpaddle/gateway/region_table.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What other daemons told of themselves and their regions.
+/// Keeps the state that other daemons reported about themselves and their regions.
 #pragma once
 
 #include "portpaddle/gateway/fleet_view.h"
@@ -20,54 +20,53 @@
 
 class RandomSource;
 
-/// The key under which digests name a service.
+/// Returns the key by which digests name a service.
 std::uint64_t serviceKey(const std::string &service);
 
-/// Belongs to one event loop.
+/// Keeps the state of other daemons and regions. Must only be used from one event loop.
 class RegionTable
 {
 public:
     void setOwnRegion(std::string region);
-    /// The daemons that news may name; those that are new in @p view have until a while after @p now to be heard of.
+    /// Sets the daemons that digests may name; those that are new in @p view have some time after @p now to be heard from.
     void setDaemons(const FleetView &view, SteadyTime now);
-    /// In which some daemon is listed.
+    /// Returns the regions in which a daemon is listed.
     const std::set<std::string> &listedRegions() const;
     void applyDigest(const Wire::LoadDigestT &digest, SteadyTime now);
-    /// What a gatherer heard of other daemons.
+    /// Applies an aggregator's report of when it heard from other daemons.
     void takeMembers(std::span<const Wire::MemberNews> members, SteadyTime now);
-    /// What a gatherer of another region told of it.
+    /// Applies the summary that an aggregator of another region sent.
     void takeRegion(const std::string &name, const std::vector<Wire::ServiceWait> &services,
                     const std::vector<Wire::PlacedPart> &placed, SteadyTime now);
-    /// When @p daemon was heard itself; no value when it was not within the age at which news count.
+    /// Returns when @p daemon's own last digest came; no value when it is too old to count.
     std::optional<SteadyTime> heardDirectly(const std::string &daemon, SteadyTime now) const;
-    /// How often daemons of the own region hear from each other.
+    /// Sets the interval at which daemons of the own region send digests to each other.
     void setDigestInterval(std::chrono::milliseconds interval);
-    /// Counts the daemons of the own region anew; call a few times a second.
+    /// Counts the daemons of the own region again; call a few times a second.
     void tick(SteadyTime now);
-    /// A daemon did not answer a request; it is not asked again until it is heard from.
+    /// Records that a daemon did not answer a request; it is avoided for a moment.
     void unreachable(const std::string &daemon, SteadyTime now);
-    /// The daemon is listed or was heard of, and is not heard of any more.
+    /// Returns whether the daemon is listed or was heard from, but is not heard from any more.
     bool fellSilent(const std::string &daemon, SteadyTime now) const;
-    /// What the daemon last said of itself; Serving before anything was heard.
+    /// Returns the phase that the daemon last reported; Serving before any report.
     Wire::DaemonPhase phaseOf(const std::string &daemon) const;
-    /// Daemons heard of in the own region, this one included, while each was heard within the memory of the table; as of the last
-    /// tick.
+    /// Returns the number of daemons of the own region that were heard from recently, this one included; as of the last tick.
     unsigned daemonsInOwnRegion() const;
 
-    /// Other regions that serve @p service now; indexes count in @p regionNames.
+    /// Returns the other regions that serve @p service now; the candidates' indexes refer to @p regionNames.
     std::vector<RegionCandidate> candidates(const std::string &service, const ServiceSpec &spec, const PromptFacts &prompt,
                                             Urgency urgency, SteadyTime now, std::vector<std::string> &regionNames) const;
-    /// A daemon of @p region to send a request to; null when none is known to live.
+    /// Returns a daemon of @p region to send a request to; null when none is known to be alive.
     const DaemonRecord *pick(const FleetView &view, const std::string &region, SteadyTime now, RandomSource &random) const;
-    /// A daemon of the region of @p ending that can go on with its streams, one that stops itself as the last resort; null if
+    /// Returns a daemon of the region of @p ending that can continue its streams, a stopping one only as the last resort; null if
     /// there is none.
     const DaemonRecord *pickBeside(const FleetView &view, const DaemonRecord &ending, SteadyTime now, RandomSource &random) const;
-    /// Counts a request sent there since the last news.
-    void sentAway(const std::string &region, const std::string &service, const PromptFacts &prompt);
+    /// Counts a request that was forwarded to @p region since its last summary.
+    void recordForwarded(const std::string &region, const std::string &service, const PromptFacts &prompt);
 
 private:
-    /// Its digests come, and connections to it did not fail just now.
-    bool isHeard(const std::string &daemon, SteadyTime now) const;
+    /// Returns whether digests of the daemon arrive and no connection to it has failed recently.
+    bool isReachable(const std::string &daemon, SteadyTime now) const;
     struct Peer
     {
         std::string region;
@@ -75,55 +74,56 @@
         /// When the sequence came.
         SteadyTime sequenceAt{};
         Wire::DaemonPhase phase = Wire::DaemonPhase::Serving;
-        /// By its own digests or from a gatherer.
+        /// By the daemon's own digests or an aggregator's report.
         SteadyTime heard{};
-        SteadyTime shunnedUntil{};
+        SteadyTime avoidedUntil{};
     };
 
-    struct Named
+    struct ListedDaemon
     {
         std::string id;
         std::string region;
-        /// When it was first listed; news of it are due from then on.
+        /// When the daemon was first listed; digests of it are expected from then on.
         SteadyTime since{};
     };
 
-    /// Daemons of a region to send requests to, for as long as that holds.
-    struct Usable
+    /// Cached list of the daemons of a region to which requests may be sent.
+    struct UsableDaemons
     {
         const FleetView *view = nullptr;
         SteadyTime at{};
         std::vector<const DaemonRecord *> daemons;
     };
 
-    const std::vector<const DaemonRecord *> &usable(const FleetView &view, const std::string &region, SteadyTime now) const;
+    const std::vector<const DaemonRecord *> &usableDaemons(const FleetView &view, const std::string &region,
+                                                           SteadyTime now) const;
 
-    struct ServiceNews
+    struct ServiceState
     {
         std::array<double, urgencyCount> waitMs{};
         double upstreams = 0;
         double tokensPerMs = 0;
         double running = 0;
         double tokenMs = 0;
-        double sentSince = 0;
+        double forwardedTokens = 0;
         SteadyTime at{};
     };
 
-    /// How long a daemon of the own region may be silent.
+    /// Returns how long a daemon of the own region may be silent.
     std::chrono::milliseconds silenceBound() const;
 
     std::string ownRegion_;
     std::chrono::milliseconds digestInterval_{ 100 };
     std::unordered_map<std::string, Peer> peers_;
-    std::unordered_map<std::uint32_t, Named> names_;
-    /// Of all daemons that are listed.
+    std::unordered_map<std::uint32_t, ListedDaemon> listedDaemons_;
+    /// Regions of all daemons that are listed.
     std::set<std::string> listedRegions_;
     unsigned daemonsInOwnRegion_ = 1;
-    mutable std::unordered_map<std::string, Usable> usable_;
+    mutable std::unordered_map<std::string, UsableDaemons> usableDaemons_;
     struct Region
     {
-        std::unordered_map<std::uint64_t, ServiceNews> services;
-        /// Parts that some upstream there has read.
+        std::unordered_map<std::uint64_t, ServiceState> services;
+        /// Prompt parts that some upstream there has prefilled.
         PrefixMemory prefixes;
     };
 
--- a/src/portpaddle/gateway/round_robin_cursor.cpp
+++ b/src/portpaddle/gateway/round_robin_cursor.cpp
@@ -5,13 +5,13 @@
 
 namespace Portpaddle {
 
-RoundRobinCursor::RoundRobinCursor(std::uint64_t key) : turn_(key)
+RoundRobinCursor::RoundRobinCursor(std::uint64_t key) : position_(key)
 {
 }
 
 std::size_t RoundRobinCursor::next(std::size_t count)
 {
-    return static_cast<std::size_t>(turn_++ % count);
+    return static_cast<std::size_t>(position_++ % count);
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/gateway/service_map.cpp
+++ b/src/portpaddle/gateway/service_map.cpp
@@ -14,10 +14,10 @@
 
 constexpr NameTable<RouteKind, 3> kindNames{ { "idempotent", "non_idempotent", "stream" } };
 
-// What the platform's page says of callers that wait for an event.
-constexpr Millis shortestPatience{ 2'000 };
-constexpr int patiencePerTarget = 4;
-constexpr int patiencePerPause = 8;
+// Derived from the platform's documentation of callers that wait for an event.
+constexpr Millis minFirstEventTimeout{ 2'000 };
+constexpr int timeoutPerTargetLatency = 4;
+constexpr int timeoutPerLongestPause = 8;
 
 } // namespace
 
@@ -36,7 +36,7 @@
     if (kind != RouteKind::Stream) {
         return timeout;
     }
-    return std::max({ shortestPatience, patiencePerTarget * targetLatency, patiencePerPause * longestPause });
+    return std::max({ minFirstEventTimeout, timeoutPerTargetLatency * targetLatency, timeoutPerLongestPause * longestPause });
 }
 
 bool Route::allowsRegion(std::string_view region) const
--- a/src/portpaddle/gateway/service_map.h
+++ b/src/portpaddle/gateway/service_map.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Routes and services that are in force: which service a host and path lead to, and under which limits.
+/// Routes and services in force: which service a host and path lead to, and under which limits.
 #pragma once
 
 #include "portpaddle/interfaces/clock.h"
@@ -16,7 +16,7 @@
 
 namespace Portpaddle {
 
-/// What may be repeated on a route.
+/// How requests of a route may be retried.
 enum class RouteKind { Idempotent, NonIdempotent, Stream };
 std::string_view nameOf(RouteKind kind);
 
@@ -27,7 +27,7 @@
     unsigned weight = 1;
 };
 
-/// One route; times as the operator wants them.
+/// One route; times as the operator configured them.
 struct Route
 {
     std::string name;
@@ -36,29 +36,29 @@
     RouteKind kind = RouteKind::NonIdempotent;
     Millis timeout{ 0 };
     Millis targetLatency{ 0 };
-    /// Between two events of a stream that is in time.
+    /// Longest allowed time between two events of a stream.
     Millis longestPause{ 0 };
-    /// Upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     unsigned attempts = 1;
     /// Zero is the most urgent.
     unsigned priority = 5;
     /// Callers need no key.
     bool isPublic = false;
-    /// A stream that may go on at another upstream after its last event.
+    /// A stream of the route may continue at another upstream after its last event.
     bool resumable = false;
-    /// Regions that may serve it; empty means all.
+    /// Regions that may serve the route; empty means all.
     std::vector<std::string> homeRegions;
     std::vector<WeightedService> services;
 
     bool mayRunTwice() const;
-    /// How long callers wait for the first event of a stream before they leave.
+    /// Returns how long callers wait for the first event of a stream before they leave.
     Millis firstEventTimeout() const;
     bool allowsRegion(std::string_view region) const;
-    /// The service for a request; the same @p requestHash gives the same service.
+    /// Returns the service for a request; the same @p requestHash gives the same service.
     const std::string &serviceFor(std::uint64_t requestHash) const;
 };
 
-/// What is known in advance of the upstreams of one service.
+/// Configured properties of the upstreams of one service.
 struct ServiceSpec
 {
     std::string name;
@@ -66,16 +66,16 @@
     /// Connections that one upstream accepts from all daemons together.
     unsigned connectionLimit = 0;
     Millis coldStart{ 0 };
-    /// Requests a second that a cold upstream bears; zero means no bound.
+    /// Requests a second that a cold upstream sustains; zero means no bound.
     double coldPerSecond = 0;
     /// Zero where the service is not a model engine.
     std::uint64_t memoryTokens = 0;
     unsigned tokensPerEvent = 1;
-    /// Its engines move the memory of runs to each other.
+    /// Engines of the service move the memory of runs to each other.
     bool movesMemory = false;
-    /// What a token takes in an engine's memory; zero where engines do not fetch kept parts from each other.
+    /// Memory of one token in an engine; zero where engines do not fetch cached parts from each other.
     double memoryBytesPerToken = 0;
-    /// Of the links between its engines, megabits a second.
+    /// Bandwidth of the links between the engines, in megabits a second.
     double memoryLinkMbps = 0;
     bool isModelEngine() const;
 };
@@ -102,10 +102,10 @@
 
     /// Builds the index; call once after filling the fields.
     void index();
-    /// The route with the longest prefix of @p path among those of @p host; null when there is none.
+    /// Returns the route with the longest prefix of @p path among those of @p host; null when there is none.
     const Route *find(std::string_view host, std::string_view path) const;
     const ServiceSpec *service(const std::string &name) const;
-    /// How many different priorities of routes and organisations are more urgent than @p priority.
+    /// Returns how many different priorities of routes and organisations are more urgent than @p priority.
     unsigned rankOf(unsigned priority) const;
 
 private:
--- a/src/portpaddle/gateway/service_summary.cpp
+++ b/src/portpaddle/gateway/service_summary.cpp
@@ -18,7 +18,7 @@
     ++count_;
 }
 
-Wire::ServiceWait ServiceSummary::told(std::uint64_t key) const
+Wire::ServiceWait ServiceSummary::toWire(std::uint64_t key) const
 {
     const double share = count_ > 0 ? 1.0 / count_ : 0;
     const auto wait = [this, share](Urgency urgency) {
--- a/src/portpaddle/gateway/service_summary.h
+++ b/src/portpaddle/gateway/service_summary.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What a daemon tells other regions of a service's upstreams in its own.
+/// Summarises the upstreams of a service in the own region for the digests to other regions.
 #pragma once
 
 #include "portpaddle/gateway/placement.h"
@@ -11,14 +11,14 @@
 
 namespace Portpaddle {
 
-/// Takes upstreams one by one, gives their means.
+/// Adds up upstreams and returns their means.
 class ServiceSummary
 {
 public:
-    /// An upstream that other regions may count on.
+    /// Adds an upstream that other regions may use.
     void add(const UpstreamCandidate &upstream);
-    /// For the service that digests name by @p key; no upstreams where none was added.
-    Wire::ServiceWait told(std::uint64_t key) const;
+    /// Returns the summary of the service that digests name by @p key; its upstream count is zero where none was added.
+    Wire::ServiceWait toWire(std::uint64_t key) const;
 
 private:
     std::array<double, urgencyCount> waitMs_{};
--- a/src/portpaddle/gateway/state_exchange.cpp
+++ b/src/portpaddle/gateway/state_exchange.cpp
@@ -18,19 +18,19 @@
 // Peers are one or two hops away; one that takes longer hangs or is cut off.
 constexpr Millis peerTimeout{ 400 };
 constexpr std::size_t maxPeersAsked = 3;
-// What is older was never confirmed.
-constexpr std::int64_t longestAgeMs = 3'600'000;
+// Upper bound of a reported age; a greater age means that the state was never confirmed.
+constexpr std::int64_t maxAgeMs = 3'600'000;
 
-Error malformed(const char *why)
+Error peerStateError(const char *why)
 {
-    return Error{ ErrorCode::BadRequest, std::string("a peer's state ") + why, RunState::NotRun, {} };
+    return Error{ ErrorCode::BadRequest, std::string("peer state: ") + why, RunState::NotRun, {} };
 }
 
 Result<std::vector<KeyValue>> askPeer(const std::string &address)
 {
     const auto endpoint = parseEndpoint(address);
     if (!endpoint) {
-        return malformed("has no address");
+        return peerStateError("invalid peer address");
     }
     httplib::Client client(endpoint->address().to_string(), endpoint->port());
     client.set_connection_timeout(peerTimeout);
@@ -41,14 +41,14 @@
         return body.size() <= largestStateBytes;
     });
     if (!result || result->status != 200) {
-        return malformed("did not come");
+        return peerStateError("request failed");
     }
-    Result<FeedUpdate> news = decodeChanges(body, BootClock::now());
-    if (!isOk(news)) {
-        return errorOf(news);
+    Result<FeedUpdate> update = decodeChanges(body, BootClock::now());
+    if (!isOk(update)) {
+        return errorOf(update);
     }
     std::vector<KeyValue> items;
-    for (KeyChange &change : valueOf(news).changes) {
+    for (KeyChange &change : valueOf(update).changes) {
         items.push_back(std::move(change.item));
     }
     return items;
@@ -56,9 +56,9 @@
 
 } // namespace
 
-std::string encodeState(const std::string &daemon, const std::vector<KeyValue> &items, const FeedUpdate &news)
+std::string encodeState(const std::string &daemon, const std::vector<KeyValue> &items, const FeedUpdate &update)
 {
-    FeedUpdate all = news;
+    FeedUpdate all = update;
     all.incomplete = false;
     all.changes.clear();
     for (const KeyValue &item : items) {
@@ -67,16 +67,16 @@
     return encodeChanges(daemon, all);
 }
 
-std::string encodeChanges(const std::string &daemon, const FeedUpdate &news)
+std::string encodeChanges(const std::string &daemon, const FeedUpdate &update)
 {
     Wire::FleetStateT state;
     state.daemon = daemon;
-    state.revision = news.revision;
-    state.reachable = news.reachable;
-    state.incomplete = news.incomplete;
-    const auto age = std::chrono::duration_cast<Millis>(BootClock::now() - news.confirmedAt).count();
-    state.confirmed_age_ms = static_cast<std::uint32_t>(std::clamp<std::int64_t>(age, 0, longestAgeMs));
-    for (const KeyChange &change : news.changes) {
+    state.revision = update.revision;
+    state.reachable = update.reachable;
+    state.incomplete = update.incomplete;
+    const auto age = std::chrono::duration_cast<Millis>(BootClock::now() - update.confirmedAt).count();
+    state.confirmed_age_ms = static_cast<std::uint32_t>(std::clamp<std::int64_t>(age, 0, maxAgeMs));
+    for (const KeyChange &change : update.changes) {
         auto entry = std::make_unique<Wire::StateItemT>();
         entry->key = change.item.key;
         entry->value = change.item.value;
@@ -94,21 +94,21 @@
     const auto *data = reinterpret_cast<const std::uint8_t *>(bytes.data());
     flatbuffers::Verifier verifier(data, bytes.size());
     if (bytes.size() > largestStateBytes || !verifier.VerifyBuffer<Wire::FleetState>(nullptr)) {
-        return malformed("is malformed");
+        return peerStateError("malformed");
     }
     Wire::FleetStateT state;
     flatbuffers::GetRoot<Wire::FleetState>(data)->UnPackTo(&state);
-    FeedUpdate news;
-    news.revision = state.revision;
-    news.confirmedAt = now - Millis(std::min<std::int64_t>(state.confirmed_age_ms, longestAgeMs));
-    news.reachable = state.reachable;
-    news.incomplete = state.incomplete;
+    FeedUpdate update;
+    update.revision = state.revision;
+    update.confirmedAt = now - Millis(std::min<std::int64_t>(state.confirmed_age_ms, maxAgeMs));
+    update.reachable = state.reachable;
+    update.incomplete = state.incomplete;
     for (const std::unique_ptr<Wire::StateItemT> &item : state.items) {
         if (item) {
-            news.changes.push_back({ { item->key, item->value, item->revision }, item->removed });
+            update.changes.push_back({ { item->key, item->value, item->revision }, item->removed });
         }
     }
-    return news;
+    return update;
 }
 
 PeerStateClient::PeerStateClient(std::function<std::vector<std::string>()> peers) : peers_(std::move(peers))
@@ -127,7 +127,7 @@
             return items;
         }
     }
-    return Error{ ErrorCode::PeerUnreachable, "no other daemon hands on its state", RunState::NotRun, {} };
+    return Error{ ErrorCode::PeerUnreachable, "no other daemon returned its state", RunState::NotRun, {} };
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/gateway/state_exchange.h
+++ b/src/portpaddle/gateway/state_exchange.h
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Hands on what the store last told, between daemons: to one that starts or goes on while the store does not answer it.
+/// Transfers the last known state of the store between daemons, for one that starts or continues while the store does not answer
+/// it.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -14,24 +15,24 @@
 
 namespace Portpaddle {
 
-/// Larger states are refused; a configuration of some hundred routes has a tenth of this.
+/// Larger states are rejected; a configuration of some hundred routes takes a tenth of this.
 inline constexpr std::size_t largestStateBytes = 8 * 1024 * 1024;
 
-/// All @p items that daemon @p daemon knows; @p news says of what revision they are at least.
-std::string encodeState(const std::string &daemon, const std::vector<KeyValue> &items, const FeedUpdate &news);
-/// The changes of @p news.
-std::string encodeChanges(const std::string &daemon, const FeedUpdate &news);
-/// Decodes either of them; BadRequest if @p bytes is neither. Ages count back from @p now.
+/// Encodes all @p items that @p daemon knows; @p update has the minimum revision of their state.
+std::string encodeState(const std::string &daemon, const std::vector<KeyValue> &items, const FeedUpdate &update);
+/// Encodes the changes of @p update.
+std::string encodeChanges(const std::string &daemon, const FeedUpdate &update);
+/// Decodes the result of either function; BadRequest if @p bytes is malformed. Ages count back from @p now.
 Result<FeedUpdate> decodeChanges(const std::string &bytes, SteadyTime now);
 
-/// Asks other daemons. Calls block.
+/// Fetches the state of the store from other daemons. Calls block.
 class PeerStateClient
 {
 public:
-    /// @p peers gives the link addresses to ask, the likeliest first.
+    /// @p peers returns the link addresses to ask, the most promising first.
     explicit PeerStateClient(std::function<std::vector<std::string>()> peers);
 
-    /// The items of the first peer that has any; PeerUnreachable when there is none.
+    /// Returns the items of the first peer that has any; PeerUnreachable when there is none.
     Result<std::vector<KeyValue>> fetch() const;
 
 private:
--- a/src/portpaddle/gateway/store_watcher.cpp
+++ b/src/portpaddle/gateway/store_watcher.cpp
@@ -10,24 +10,25 @@
 
 namespace {
 
-// How long one call waits for changes: each waiting call is paid for, a longer one notices a stopping process later.
-constexpr Millis waitTime{ 25'000 };
-// After a failure; doubled up to the longest. A store that is back must be noticed within a second.
-constexpr Millis firstPause{ 100 };
-constexpr Millis longestPause{ 400 };
+// How long one call waits for changes: each watch call is paid for, but a longer one delays the stop of the process.
+constexpr Millis watchTimeout{ 25'000 };
+// Initial wait after a failure; doubled up to the maximum. The return of the store must be noticed within a second.
+constexpr Millis initialBackoff{ 100 };
+constexpr Millis maxBackoff{ 400 };
 constexpr unsigned maxDoublings = 4;
-// Changes come in bursts and each waiting call is paid for: the next one takes what gathered meanwhile. Short enough where
-// upstreams that leave and configurations allow three seconds.
+// Changes come in bursts and each watch call is paid for: the next call takes what was collected meanwhile. Short enough for the
+// three seconds within which leaving upstreams and configurations must take effect.
 constexpr Millis usualCoalescingDelay{ 500 };
-// Changes that another daemon hands on have gathered there.
+// Changes relayed by another daemon were already collected there.
 constexpr Millis relayedCoalescingDelay{ 100 };
-// Two rounds find a lost answer well within the few seconds that a configuration may take; each costs a tenth of a call.
+// Two rounds find a lost answer well within the few seconds that a configuration may take; each costs a tenth of a watch call.
 constexpr Millis verifyInterval{ 1'200 };
 constexpr Millis verifyStep{ 100 };
-// Daemons that hand on changes answer each second; after this the store itself may be waited for.
-constexpr Millis longestRelaySilence{ 2'000 };
-// A configuration must be in force within a few seconds; a state of some hundred routes has 100 KB.
-constexpr Millis betweenPeerQuestions{ 1'000 };
+// Daemons that relay changes answer each second; after this silence the watch may be one of the store itself.
+constexpr Millis maxRelaySilence{ 2'000 };
+// Time between two fetches from peers: a configuration must be in force within a few seconds, and a state of some hundred routes
+// has 100 KB.
+constexpr Millis peerFetchInterval{ 1'000 };
 
 } // namespace
 
@@ -47,9 +48,9 @@
     stop();
 }
 
-void StoreWatcher::setCoalescingDelay(Millis pause)
+void StoreWatcher::setCoalescingDelay(Millis delay)
 {
-    coalescingDelay_ = pause;
+    coalescingDelay_ = delay;
 }
 
 void StoreWatcher::setFeed(ChangeFeed *feed)
@@ -83,14 +84,15 @@
 
 bool StoreWatcher::list()
 {
-    // What this daemon knows already must not fall behind; one that knows nothing catches up with the first changes.
+    // The state that this daemon knows already must not go backwards; a daemon without any state catches up with the first
+    // changes.
     const ReadFreshness freshness = revision_ == 0 ? ReadFreshness::MayBeStale : ReadFreshness::Newest;
     const Result<KeyListing> listing = store_.listAll(prefix_, freshness);
     if (!isOk(listing)) {
-        noteFailure(errorOf(listing));
+        recordFailure(errorOf(listing));
         return false;
     }
-    noteSuccess();
+    recordSuccess();
     listener_.listed(valueOf(listing).items);
     revision_ = valueOf(listing).revision;
     listed_ = true;
@@ -102,31 +104,31 @@
 
 void StoreWatcher::follow()
 {
-    const Result<KeyChanges> reply = store_.follow(prefix_, revision_, waitTime);
+    const Result<KeyChanges> reply = store_.follow(prefix_, revision_, watchTimeout);
     if (!isOk(reply)) {
         listed_ = errorOf(reply).code != ErrorCode::HistoryCompacted;
         if (listed_) {
-            noteFailure(errorOf(reply));
+            recordFailure(errorOf(reply));
         }
         return;
     }
-    noteSuccess();
-    const KeyChanges &news = valueOf(reply);
-    relayed_ = news.relayed;
+    recordSuccess();
+    const KeyChanges &update = valueOf(reply);
+    relayed_ = update.relayed;
     answeredAt_ = BootClock::now();
-    if (!news.changes.empty()) {
-        listener_.changed(news.changes);
+    if (!update.changes.empty()) {
+        listener_.changed(update.changes);
     }
-    revision_ = std::max(revision_.load(), news.revision);
+    revision_ = std::max(revision_.load(), update.revision);
     if (feed_ != nullptr) {
-        feed_->add(news.changes, revision_, news.confirmedAt);
+        feed_->add(update.changes, revision_, update.confirmedAt);
     }
-    if (!news.changes.empty() && !stopping_) {
-        std::this_thread::sleep_for(news.relayed ? relayedCoalescingDelay : coalescingDelay_);
+    if (!update.changes.empty() && !stopping_) {
+        std::this_thread::sleep_for(update.relayed ? relayedCoalescingDelay : coalescingDelay_);
     }
 }
 
-/// A store may lose the answer to a waiting call and keep the connection: then changes pass by while the call still waits.
+/// A store may lose the answer to a watch call and keep the connection open: changes are then missed while the call still waits.
 void StoreWatcher::verify()
 {
     std::uint64_t behindAt = 0;
@@ -134,18 +136,18 @@
         for (const SteadyTime until = BootClock::now() + verifyInterval; BootClock::now() < until && !stopping_;) {
             std::this_thread::sleep_for(verifyStep);
         }
-        if (relayed_ && BootClock::now() - answeredAt_.load() < longestRelaySilence) {
-            // Whoever hands on the changes says when the store confirmed them.
+        if (relayed_ && BootClock::now() - answeredAt_.load() < maxRelaySilence) {
+            // The daemon that relays the changes reports when the store confirmed them.
             continue;
         }
         const std::uint64_t known = revision_;
         const Result<std::uint64_t> newest = verifier_->newestRevision();
         const bool behind = listed_ && isOk(newest) && valueOf(newest) > revision_;
-        // A cheap read may be old itself: it says little of what other daemons handed on.
+        // A cheap read may be stale itself: it says little about what other daemons relayed.
         if (feed_ != nullptr && isOk(newest) && !behind && !relayed_) {
             feed_->confirm(BootClock::now());
         }
-        // Behind twice at the same revision: the answer is not on its way any more.
+        // Behind twice at the same revision: the answer was lost.
         if (behind && behindAt == known) {
             store_.interrupt();
             behindAt = 0;
@@ -155,44 +157,44 @@
     }
 }
 
-void StoreWatcher::noteFailure(const Error &error)
+void StoreWatcher::recordFailure(const Error &error)
 {
-    if (!lost_) {
-        lost_ = true;
-        tellFeed(false);
+    if (!storeUnavailable_) {
+        storeUnavailable_ = true;
+        updateFeedReachability(false);
         listener_.onStoreUnavailable(error);
     }
-    const Millis pause = std::min(longestPause, firstPause * (1U << std::min(failures_, maxDoublings)));
+    const Millis backoff = std::min(maxBackoff, initialBackoff * (1U << std::min(failures_, maxDoublings)));
     ++failures_;
-    askPeers();
-    std::this_thread::sleep_for(pause);
+    fetchFromPeers();
+    std::this_thread::sleep_for(backoff);
 }
 
-/// While the store is away other daemons may still reach it.
-void StoreWatcher::askPeers()
+/// During an outage of the store other daemons may still reach it.
+void StoreWatcher::fetchFromPeers()
 {
     const auto now = BootClock::now();
-    if (peers_ == nullptr || now - askedPeersAt_ < betweenPeerQuestions) {
+    if (peers_ == nullptr || now - fetchedFromPeersAt_ < peerFetchInterval) {
         return;
     }
-    askedPeersAt_ = now;
+    fetchedFromPeersAt_ = now;
     const Result<std::vector<KeyValue>> items = peers_->fetch();
     if (isOk(items)) {
         listener_.receivedFromPeer(valueOf(items));
     }
 }
 
-void StoreWatcher::noteSuccess()
+void StoreWatcher::recordSuccess()
 {
     failures_ = 0;
-    if (lost_) {
-        lost_ = false;
+    if (storeUnavailable_) {
+        storeUnavailable_ = false;
         listener_.onStoreAvailable();
-        tellFeed(true);
+        updateFeedReachability(true);
     }
 }
 
-void StoreWatcher::tellFeed(bool reachable)
+void StoreWatcher::updateFeedReachability(bool reachable)
 {
     if (feed_ != nullptr) {
         feed_->setReachable(reachable);
--- a/src/portpaddle/gateway/target.h
+++ b/src/portpaddle/gateway/target.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Where one attempt of a request goes.
+/// The target of one attempt of a request.
 #pragma once
 
 #include "portpaddle/gateway/fleet_view.h"
@@ -13,15 +13,15 @@
 
 namespace Portpaddle {
 
-/// A target chosen for one attempt.
+/// The target chosen for one attempt.
 struct Target
 {
     Placement placement;
-    /// Of the service; null where it is unknown.
+    /// The spec of the service; null where the service is unknown.
     std::shared_ptr<const ServiceSpec> spec;
     /// Set for an upstream of the own region.
     std::optional<UpstreamRecord> upstream;
-    /// Address of the upstream from which it is to fetch kept parts; empty where it reads them.
+    /// Address of the upstream from which cached parts are to be fetched; empty where nothing is fetched.
     std::string fetchFrom;
     /// Set for a daemon of another region.
     std::optional<DaemonRecord> daemon;
--- a/src/portpaddle/gateway/upstream_loads.cpp
+++ b/src/portpaddle/gateway/upstream_loads.cpp
@@ -15,52 +15,51 @@
 
 namespace {
 
-// Before an upstream has shown its speed. Engines of today read about 110 prompt tokens in a millisecond.
+// Used until the speed of an upstream is known. Current engines prefill about 110 prompt tokens in a millisecond.
 constexpr double assumedTokensPerMs = 110;
-// Bounds of what is learned from the time of first tokens against its prediction.
-constexpr double fastest = 0.6;
-constexpr double slowest = 8;
+// Bounds of the learned slowness.
+constexpr double minSlowness = 0.6;
+constexpr double maxSlowness = 8;
 constexpr double assumedServiceMs = 25;
-// Part of the memory that cached parts can count on even where requests seem to fill it: estimates of requests run high, since
-// few make as many tokens as they may.
-constexpr double leastCacheShare = 0.25;
-// Smaller parts are not told to other daemons: reading them again costs about a millisecond.
-constexpr unsigned smallestToldPart = 256;
-// A part that is used again is told again when this share of the memory has been read meanwhile.
-constexpr double toldAgainShare = 0.1;
-// Told in one round at most; the rest are found by their homes.
-constexpr std::size_t maxToldParts = 2 * maxDigestParts;
+// Share of the memory that is available for cached parts even where requests seem to fill it: estimates of requests run high,
+// since few generate as many tokens as they may.
+constexpr double minCacheShare = 0.25;
+// Smaller parts are not announced to other daemons: prefilling them again costs about a millisecond.
+constexpr unsigned minAnnouncedPartTokens = 256;
+// A part that is used again is announced again when this share of the memory has been prefilled meanwhile.
+constexpr double reannounceAgeShare = 0.1;
+// Upper bound for one round; other daemons find the remaining parts by prefix affinity.
+constexpr std::size_t maxAnnouncedParts = 2 * maxDigestParts;
 // Units of tokens in digests, see wire/load.fbs.
 constexpr double tokensUnit = 64;
 constexpr double memoryUnit = 256;
-// An upstream that all requests left is told idle for this long: some digests are lost.
-constexpr std::chrono::milliseconds idleTold{ 1'000 };
+// An upstream without requests is reported as idle for this long, since some digests are lost.
+constexpr std::chrono::milliseconds idleReportTime{ 1'000 };
 constexpr double learningRate = 0.1;
-// Some dozen streams at an upstream show the time between tokens many times a second.
+// Some dozen streams at an upstream give a sample of the time between tokens many times a second.
 constexpr double tokenMsLearningRate = 0.03;
 // After this time without events the batch has changed.
-constexpr std::chrono::milliseconds tokenMsAge{ 1'000 };
+constexpr std::chrono::milliseconds maxTokenMsAge{ 1'000 };
 constexpr double failureLearningRate = 0.15;
 constexpr double failureHalfLifeMs = 3'000;
 constexpr unsigned failuresBeforeAvoiding = 2;
-constexpr std::chrono::milliseconds shortestAvoidance{ 300 };
-constexpr std::chrono::milliseconds longestAvoidance{ 3'000 };
-// An upstream that owes answers and sends nothing for this long is taken to hang, until something is heard.
-// Learned speeds count only prompts whose reading outweighs the steps around it.
-constexpr double smallestMeasuredTokens = 1'000;
+constexpr std::chrono::milliseconds minAvoidance{ 300 };
+constexpr std::chrono::milliseconds maxAvoidance{ 3'000 };
+// Only prompts whose prefill outweighs the decode steps around it count for the learned slowness.
+constexpr double minMeasuredTokens = 1'000;
 
-double blend(double old, double sample, double rate)
+double movingAverage(double old, double sample, double rate)
 {
     return old == 0 ? sample : old + rate * (sample - old);
 }
 
-/// Rounded up, so that a little is not nothing; bounded by what a digest can say.
-std::uint16_t inUnits(double tokens, double unit)
+/// Rounds up, so that a small amount does not become zero, and limits the value to what a digest can hold.
+std::uint16_t toUnits(double tokens, double unit)
 {
     return static_cast<std::uint16_t>(std::min(std::ceil(tokens / unit), double{ std::numeric_limits<std::uint16_t>::max() }));
 }
 
-std::uint32_t wrapped(double tokens)
+std::uint32_t toWrappingCounter(double tokens)
 {
     return static_cast<std::uint32_t>(static_cast<std::uint64_t>(tokens));
 }
@@ -75,15 +74,15 @@
 Wire::UpstreamShare encodeShare(std::uint32_t key, const LoadShare &share, double readTokens)
 {
     const auto pending
-        = [&share](Urgency urgency) { return inUnits(share.pendingTokens.at(static_cast<std::size_t>(urgency)), tokensUnit); };
+        = [&share](Urgency urgency) { return toUnits(share.pendingTokens.at(static_cast<std::size_t>(urgency)), tokensUnit); };
     return { key,
-             wrapped(readTokens),
+             toWrappingCounter(readTokens),
              pending(Urgency::Urgent),
              pending(Urgency::Usual),
              pending(Urgency::Patient),
              pending(Urgency::Late),
-             inUnits(share.memoryTokens, memoryUnit),
-             inUnits(share.running, 1) };
+             toUnits(share.memoryTokens, memoryUnit),
+             toUnits(share.running, 1) };
 }
 
 double millisBetween(SteadyTime from, SteadyTime to)
@@ -142,16 +141,16 @@
     ticket.predictedMs = placement.predictedMs;
     ticket.urgency = placement.urgency;
     ticket.reading = true;
-    const double cacheTokens = cacheRoom(state, spec, now);
+    const double cacheTokens = cacheCapacity(state, spec, now);
     const double kept = state.prefixes.keptTokens(prompt.parts, cacheTokens);
     const double added = std::max(0.0, prompt.promptTokens - kept);
-    const double notRead = placement.fetches ? std::max(kept, placement.keptTokens) : kept;
-    ticket.pendingTokens = std::max(0.0, prompt.promptTokens - notRead);
+    const double available = placement.fetches ? std::max(kept, placement.keptTokens) : kept;
+    ticket.pendingTokens = std::max(0.0, prompt.promptTokens - available);
     ticket.memoryTokens = added + prompt.maxTokensOut;
-    // Fetched parts push older ones out of the memory as those do that are read.
+    // Fetched parts evict older ones from the memory just like parts that are prefilled.
     state.readTokens += added;
     state.prefixes.advance(added);
-    notePlaced(state, upstream.id, prompt, cacheTokens);
+    recordPlacedParts(state, upstream.id, prompt, cacheTokens);
     state.pendingTokens.at(static_cast<std::size_t>(ticket.urgency)) += ticket.pendingTokens;
     state.memoryTokens += ticket.memoryTokens;
     if (state.running == 0 || state.silentSince <= state.lastHeard) {
@@ -161,26 +160,26 @@
     return ticket;
 }
 
-double UpstreamLoads::cacheRoom(const State &state, const ServiceSpec &spec, SteadyTime now)
+double UpstreamLoads::cacheCapacity(const State &state, const ServiceSpec &spec, SteadyTime now)
 {
     const double used = state.memoryTokens + state.peers.sum(now).memoryTokens;
     const double total = static_cast<double>(spec.memoryTokens);
-    return std::max(leastCacheShare * total, total - used);
+    return std::max(minCacheShare * total, total - used);
 }
 
-void UpstreamLoads::notePlaced(State &state, const std::string &upstream, const PromptFacts &prompt, double cacheTokens)
+void UpstreamLoads::recordPlacedParts(State &state, const std::string &upstream, const PromptFacts &prompt, double cacheTokens)
 {
     for (std::size_t index = 0; index < prompt.parts.size(); ++index) {
         const PromptPart &part = prompt.parts[index];
         const double age = state.prefixes.note(part.chainHash);
         // The last part belongs to this request alone.
         const bool shared = index + 1 < prompt.parts.size();
-        if (!policy_.toldParts || !shared || part.tokens < smallestToldPart || age < toldAgainShare * cacheTokens) {
+        if (!policy_.announceParts || !shared || part.tokens < minAnnouncedPartTokens || age < reannounceAgeShare * cacheTokens) {
             continue;
         }
         for (std::deque<Wire::PlacedPart> &queue : placed_) {
             queue.emplace_back(part.chainHash, upstreamKey(upstream), part.tokens);
-            if (queue.size() > maxToldParts) {
+            if (queue.size() > maxAnnouncedParts) {
                 queue.pop_front();
             }
         }
@@ -205,10 +204,10 @@
     State &state = stateOf(ticket.upstream);
     finishReading(state, ticket);
     heard(ticket.upstream, now);
-    if (policy_.learnedSlowness && ticket.pendingTokens >= smallestMeasuredTokens && ticket.predictedMs > 0) {
-        const double ratio = std::clamp(millisBetween(ticket.sentAt, now) / ticket.predictedMs, fastest, slowest);
+    if (policy_.learnedSlowness && ticket.pendingTokens >= minMeasuredTokens && ticket.predictedMs > 0) {
+        const double ratio = std::clamp(millisBetween(ticket.sentAt, now) / ticket.predictedMs, minSlowness, maxSlowness);
         state.slowness *= std::pow(ratio, learningRate);
-        state.slowness = std::clamp(state.slowness, fastest, slowest);
+        state.slowness = std::clamp(state.slowness, minSlowness, maxSlowness);
     }
 }
 
@@ -217,8 +216,8 @@
     if (ticket.eventAt) {
         State &state = stateOf(ticket.upstream);
         const double sample = millisBetween(*ticket.eventAt, now) / static_cast<double>(events * std::max(1U, tokensPerEvent));
-        const bool fresh = now - state.tokenMsAt < tokenMsAge;
-        state.tokenMs = fresh ? blend(state.tokenMs, sample, tokenMsLearningRate) : sample;
+        const bool fresh = now - state.tokenMsAt < maxTokenMsAge;
+        state.tokenMs = fresh ? movingAverage(state.tokenMs, sample, tokenMsLearningRate) : sample;
         state.tokenMsAt = now;
     }
     ticket.eventAt = now;
@@ -241,13 +240,13 @@
     return found != states_.end() && found->second.lastHeard >= time;
 }
 
-/// What was seen long ago says little: an upstream that is left for its failures would never be tried again.
+/// Old failures lose weight: an upstream that is avoided for its failures would otherwise never be tried again.
 double UpstreamLoads::decayedFailureShare(const State &state, SteadyTime now)
 {
     return state.failureShare * std::exp2(-millisBetween(state.failureShareAt, now) / failureHalfLifeMs);
 }
 
-void UpstreamLoads::failed(State &state, SteadyTime now)
+void UpstreamLoads::recordFailure(State &state, SteadyTime now)
 {
     const double share = decayedFailureShare(state, now);
     state.failureShare = share + failureLearningRate * (1 - share);
@@ -257,7 +256,7 @@
         return;
     }
     const unsigned doublings = std::min(state.failuresInRow - failuresBeforeAvoiding, 4U);
-    state.avoidUntil = now + std::min(shortestAvoidance * (1U << doublings), longestAvoidance);
+    state.avoidUntil = now + std::min(minAvoidance * (1U << doublings), maxAvoidance);
 }
 
 void UpstreamLoads::ended(LoadTicket &ticket, LoadOutcome outcome, SteadyTime now)
@@ -272,16 +271,16 @@
         state.failuresInRow = 0;
         state.failureShare = (1 - failureLearningRate) * decayedFailureShare(state, now);
         state.failureShareAt = now;
-        state.serviceMs = blend(state.serviceMs, millisBetween(ticket.sentAt, now), learningRate);
+        state.serviceMs = movingAverage(state.serviceMs, millisBetween(ticket.sentAt, now), learningRate);
         state.lastHeard = now;
     } else if (outcome == LoadOutcome::Failed || (outcome == LoadOutcome::Cancelled && wasSilent)) {
-        failed(state, now);
+        recordFailure(state, now);
     }
 }
 
 void UpstreamLoads::connectFailed(const std::string &upstream, SteadyTime now)
 {
-    failed(stateOf(upstream), now);
+    recordFailure(stateOf(upstream), now);
 }
 
 UpstreamLoads::State *UpstreamLoads::stateByKey(std::uint32_t key)
@@ -294,10 +293,10 @@
 {
     for (const Wire::UpstreamShare &share : digest.upstreams) {
         if (State *state = stateByKey(share.key())) {
-            state->prefixes.advance(state->peers.take(digest.daemon, decodeShare(share), share.read_tokens(), now));
+            state->prefixes.advance(state->peers.update(digest.daemon, decodeShare(share), share.read_tokens(), now));
         }
     }
-    notePlacedByOthers(digest);
+    applyPlacedParts(digest);
 }
 
 void UpstreamLoads::applySums(const Wire::LoadDigestT &digest, SteadyTime now)
@@ -313,12 +312,12 @@
             others -= state->reported.share;
             readTokens -= state->reported.readTokens;
         }
-        state->prefixes.advance(state->peers.take(digest.daemon, others, readTokens, now));
+        state->prefixes.advance(state->peers.update(digest.daemon, others, readTokens, now));
     }
-    notePlacedByOthers(digest);
+    applyPlacedParts(digest);
 }
 
-void UpstreamLoads::notePlacedByOthers(const Wire::LoadDigestT &digest)
+void UpstreamLoads::applyPlacedParts(const Wire::LoadDigestT &digest)
 {
     for (const Wire::PlacedPart &part : digest.placed) {
         if (State *state = stateByKey(part.upstream())) {
@@ -331,7 +330,7 @@
 {
     for (auto &[id, state] : states_) {
         if (shardOf(upstreamKey(id)) == shard) {
-            state.reported = { aggregator, {}, wrapped(state.readTokens) };
+            state.reported = { aggregator, {}, toWrappingCounter(state.readTokens) };
         }
     }
     for (const Wire::UpstreamShare &share : shares) {
@@ -345,7 +344,7 @@
 {
     std::vector<Wire::UpstreamShare> result;
     for (const auto &[id, state] : states_) {
-        if (state.running == 0 && now - state.lastEnd > idleTold) {
+        if (state.running == 0 && now - state.lastEnd > idleReportTime) {
             continue;
         }
         result.push_back(encodeShare(upstreamKey(id), ownShare(state), state.readTokens));
@@ -364,10 +363,10 @@
         LoadShare sum = ownShare(state);
         sum += state.peers.sum(now);
         if (sum.running > 0) {
-            state.busyAt = now;
+            state.lastBusyAt = now;
         }
-        // Most upstreams of a fleet with little load are idle, and bytes between data centres are paid for.
-        if (now - state.busyAt <= idleTold) {
+        // Most upstreams of a lightly loaded fleet are idle, and traffic between data centres is paid for.
+        if (now - state.lastBusyAt <= idleReportTime) {
             result.push_back(encodeShare(key, sum, state.prefixes.clock()));
         }
     }
@@ -400,9 +399,9 @@
     candidate.pendingTokens = load.pendingTokens;
     candidate.running = load.running;
     candidate.memoryUsed = load.memoryTokens;
-    candidate.cachedTokens = state.prefixes.keptTokens(prompt.parts, cacheRoom(state, spec, now));
+    candidate.cachedTokens = state.prefixes.keptTokens(prompt.parts, cacheCapacity(state, spec, now));
     candidate.slowness = state.slowness;
-    candidate.tokenMs = now - state.tokenMsAt < tokenMsAge ? state.tokenMs : 0;
+    candidate.tokenMs = now - state.tokenMsAt < maxTokenMsAge ? state.tokenMs : 0;
     candidate.serviceMs = state.serviceMs > 0 ? state.serviceMs : assumedServiceMs;
     candidate.failureShare = decayedFailureShare(state, now);
     if (now < state.avoidUntil || isSilent(state, now)) {
--- a/src/portpaddle/gateway/upstream_loads.h
+++ b/src/portpaddle/gateway/upstream_loads.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The load of each upstream as this daemon estimates it, from its own sends, other daemons' digests and what answers show.
+/// Estimates the load of each upstream from this daemon's own requests, other daemons' digests and the answers of upstreams.
 #pragma once
 
 #include "portpaddle/gateway/caller_request.h"
@@ -30,57 +30,57 @@
     double predictedMs = 0;
     SteadyTime sentAt;
     bool reading = false;
-    /// When its last event came, once one has.
+    /// When the last event came; no value before the first one.
     std::optional<SteadyTime> eventAt;
 };
 
-/// Who receives a digest.
+/// Which daemons receive a digest.
 enum class DigestReach { OwnRegion, OtherRegions };
 
-/// An upstream that owes answers and sends nothing at all for this long is taken to hang, until something is heard. Busy ones
-/// send a token to some stream every few milliseconds.
+/// An upstream with requests in progress that sends nothing for this long is taken to hang until it sends something. Busy
+/// upstreams send a token to some stream every few milliseconds.
 inline constexpr std::chrono::milliseconds upstreamSilenceBound{ 600 };
 
-/// How a request at an upstream ended; turned away says nothing against the upstream.
+/// How a request at an upstream ended; a rejected one (TurnedAway) does not count as a failure of the upstream.
 enum class LoadOutcome { Answered, Failed, TurnedAway, Cancelled };
 
-/// Belongs to one event loop.
+/// Tracks the load of all known upstreams. Must only be used from one event loop.
 class UpstreamLoads
 {
 public:
     void setPolicy(const PolicySettings &policy);
-    /// Forgets upstreams that are not in @p view.
+    /// Removes upstreams that are not in @p view.
     void keepOnly(const FleetView &view);
 
     LoadTicket sent(const UpstreamRecord &upstream, const ServiceSpec &spec, const PromptFacts &prompt,
                     const Placement &placement, SteadyTime now);
     void firstToken(LoadTicket &ticket, SteadyTime now);
-    /// @p events whole ones of a stream came, of @p tokensPerEvent each.
+    /// Records that @p events whole events of a stream arrived, of @p tokensPerEvent tokens each.
     void streamed(LoadTicket &ticket, std::size_t events, unsigned tokensPerEvent, SteadyTime now);
-    /// Bytes arrived from the upstream: it is alive.
+    /// Records that bytes arrived from the upstream.
     void heard(const std::string &upstream, SteadyTime now);
     bool heardSince(const std::string &upstream, SteadyTime time) const;
     void ended(LoadTicket &ticket, LoadOutcome outcome, SteadyTime now);
     void connectFailed(const std::string &upstream, SteadyTime now);
 
     void applyDigest(const Wire::LoadDigestT &digest, SteadyTime now);
-    /// Takes sums that include what this daemon last told their gatherer with noteReported().
+    /// Applies sums that include what this daemon last reported to their aggregator; see noteReported().
     void applySums(const Wire::LoadDigestT &digest, SteadyTime now);
-    /// What this daemon has sent and is not answered yet, by upstream. One that all requests left is told a while longer.
+    /// Returns this daemon's requests in progress by upstream. An upstream is included for a while after its last request ended.
     std::vector<Wire::UpstreamShare> shares(SteadyTime now) const;
-    /// Own shares and those of all daemons that report here, of the upstreams of one @p shard that are in use or were a moment
-    /// ago.
+    /// Returns the sums of the own shares and those of all reporting daemons, for the upstreams of one @p shard that are or were
+    /// recently in use.
     std::vector<Wire::UpstreamShare> sums(unsigned shard, SteadyTime now);
     /// Remembers that @p aggregator counts @p shares of this daemon, and no other shares at upstreams of @p shard.
     void noteReported(const std::string &aggregator, unsigned shard, const std::vector<Wire::UpstreamShare> &shares);
-    /// The parts placed since the last call for @p reach; only the newest where they are many.
+    /// Returns the prompt parts placed since the last call for @p reach; only the newest where there are too many.
     std::vector<Wire::PlacedPart> takePlaced(DigestReach reach);
 
     UpstreamCandidate describe(const UpstreamRecord &upstream, const ServiceSpec &spec, const PromptFacts &prompt,
                                SteadyTime now) const;
 
 private:
-    /// What a gatherer counts of this daemon at an upstream.
+    /// What an aggregator counts of this daemon at an upstream.
     struct Reported
     {
         std::string aggregator;
@@ -95,17 +95,17 @@
         unsigned running = 0;
         PeerShares peers;
         Reported reported;
-        /// When any daemon had requests there, as far as is known here.
-        SteadyTime busyAt{};
+        /// The last time at which any daemon was known to have requests at the upstream.
+        SteadyTime lastBusyAt{};
         PrefixMemory prefixes;
-        /// Prompt tokens ever sent there to be read.
+        /// Total of the prompt tokens sent to the upstream for prefill.
         double readTokens = 0;
         /// When the last request ended.
         SteadyTime lastEnd{};
-        /// How many times longer than predicted first tokens took lately.
+        /// Recent time to the first token as a multiple of the prediction.
         double slowness = 1;
         double serviceMs = 0;
-        /// Between two tokens of a stream, lately.
+        /// Recent time between two tokens of a stream.
         double tokenMs = 0;
         SteadyTime tokenMsAt{};
         /// As of the last answer or failure; see decayedFailureShare().
@@ -114,7 +114,7 @@
         unsigned failuresInRow = 0;
         SteadyTime avoidUntil{};
         SteadyTime lastHeard{};
-        /// When the oldest request went out that nothing was heard after.
+        /// Sending time of the oldest request since which the upstream has sent nothing.
         SteadyTime silentSince{};
     };
 
@@ -122,27 +122,27 @@
     static LoadShare ownShare(const State &state);
     bool isSilent(const State &state, SteadyTime now) const;
     static void finishReading(State &state, LoadTicket &ticket);
-    /// Tokens of the memory that running requests of all daemons leave for cached parts.
-    static double cacheRoom(const State &state, const ServiceSpec &spec, SteadyTime now);
-    /// The state of the upstream that digests name by @p key; null when it is not known.
+    /// Returns the memory in tokens that the running requests of all daemons leave for cached parts.
+    static double cacheCapacity(const State &state, const ServiceSpec &spec, SteadyTime now);
+    /// Returns the state of the upstream that digests name by @p key; null when it is not known.
     State *stateByKey(std::uint32_t key);
-    void notePlacedByOthers(const Wire::LoadDigestT &digest);
-    void notePlaced(State &state, const std::string &upstream, const PromptFacts &prompt, double cacheTokens);
-    void failed(State &state, SteadyTime now);
+    void applyPlacedParts(const Wire::LoadDigestT &digest);
+    void recordPlacedParts(State &state, const std::string &upstream, const PromptFacts &prompt, double cacheTokens);
+    void recordFailure(State &state, SteadyTime now);
     static double decayedFailureShare(const State &state, SteadyTime now);
 
     PolicySettings policy_;
     std::unordered_map<std::string, State> states_;
     std::unordered_map<std::uint32_t, std::string> idsByKey_;
-    /// Parts not told yet, by reach of the digest.
+    /// Prompt parts that are still to be announced, by reach of the digest.
     std::array<std::deque<Wire::PlacedPart>, 2> placed_;
 };
 
-/// The key under which digests name an upstream.
+/// Returns the key by which digests name an upstream.
 std::uint32_t upstreamKey(const std::string &id);
 
-/// Upstreams are gathered in this many shards, each by another daemon: one datagram holds those of a shard where a region has a
-/// hundred, and a gatherer that dies leaves three quarters of the news.
+/// Number of shards of the upstreams, each aggregated by another daemon: one datagram holds a shard of a region with a hundred
+/// upstreams, and when an aggregator dies three quarters of the sums still arrive.
 inline constexpr unsigned aggregationShards = 4;
 unsigned shardOf(std::uint32_t upstreamKey);
 
--- a/tests/gateway/bounds_tests.cpp
+++ b/tests/gateway/bounds_tests.cpp
@@ -33,7 +33,7 @@
 TEST_CASE("Cold gate, daemons that share an upstream, stay within its bound together")
 {
     constexpr unsigned daemons = 4;
-    const ColdTerms terms{ 1.5, 3, daemons, start };
+    const ColdGateOptions terms{ 1.5, 3, daemons, start };
     unsigned total = 0;
     for (unsigned index = 0; index < daemons; ++index) {
         ColdGate gate;
--- a/tests/gateway/crash_guard_tests.cpp
+++ b/tests/gateway/crash_guard_tests.cpp
@@ -256,7 +256,7 @@
     header.region = std::string(40, 'r');
     for (const OutgoingDigest &outgoing : news.due(view, header)) {
         const std::vector<std::uint8_t> bytes = encodeDigest(outgoing.digest);
-        CHECK(bytes.size() <= largestLoadDatagram);
+        CHECK(bytes.size() <= maxLoadDatagramBytes);
         CHECK(isOk(decodeDigest(bytes)));
     }
 }
--- a/tests/gateway/fleet_view_tests.cpp
+++ b/tests/gateway/fleet_view_tests.cpp
@@ -288,7 +288,7 @@
     digest.upstreams.resize(maxDigestUpstreams);
     digest.placed.resize(maxDigestParts);
     digest.services.resize(maxDigestServices);
-    CHECK(encodeDigest(digest).size() <= largestLoadDatagram);
+    CHECK(encodeDigest(digest).size() <= maxLoadDatagramBytes);
 }
 
 TEST_CASE("Load digests, more upstreams and parts than one holds, are all told, each digest with its sender")
--- a/tests/gateway/load_aggregation_tests.cpp
+++ b/tests/gateway/load_aggregation_tests.cpp
@@ -116,7 +116,7 @@
         for (OutgoingDigest &outgoing : daemon.news.due(turn, header, addWaits, now)) {
             outgoing.digest.sequence = ++daemon.sequence;
             const std::vector<std::uint8_t> datagram = encodeDigest(outgoing.digest);
-            CHECK(datagram.size() <= largestLoadDatagram);
+            CHECK(datagram.size() <= maxLoadDatagramBytes);
             for (const std::string &to : outgoing.to) {
                 ++sent[id];
                 bytes += datagram.size();
--- a/tests/gateway/organisation_limits_tests.cpp
+++ b/tests/gateway/organisation_limits_tests.cpp
@@ -138,7 +138,7 @@
         for (std::size_t index = 0; index < digests.size(); ++index) {
             CHECK(digests[index].sequence == index);
             const std::vector<std::uint8_t> datagram = encodeDigest(digests[index]);
-            CHECK(datagram.size() <= largestLoadDatagram);
+            CHECK(datagram.size() <= maxLoadDatagramBytes);
             const Result<Wire::LoadDigestT> decoded = decodeDigest(datagram);
             REQUIRE(isOk(decoded));
             counts += valueOf(decoded).limit_counts.size();
--- a/tests/gateway/placement_tests.cpp
+++ b/tests/gateway/placement_tests.cpp
@@ -38,7 +38,7 @@
         request.promptTokens = 12'000;
         request.sharedTokens = 5'400;
         request.memoryTokens = 12'400;
-        request.targetLeftMs = 1'000;
+        request.remainingTargetMs = 1'000;
         away.tokensPerMs = 100;
         away.distanceMs = 115;
     }
@@ -123,19 +123,19 @@
     for (UpstreamCandidate &engine : engines) {
         engine.pendingTokens[0] = 500'000;
     }
-    request.firstTokenBoundMs = 4'000;
+    request.firstTokenTimeoutMs = 4'000;
     CHECK(placed().verdict == Verdict::Refuse);
     CHECK(placed().reason == ExclusionReason::TooLate);
-    request.firstTokenBoundMs = 40'000;
+    request.firstTokenTimeoutMs = 40'000;
     CHECK(placed().verdict == Verdict::Serve);
 }
 
 TEST_CASE_FIXTURE(PlacementFixture, "Placement, answer begun, is continued even where it will be late")
 {
-    request.firstTokenBoundMs = 0;
-    request.wholeBoundMs = 0;
+    request.firstTokenTimeoutMs = 0;
+    request.completionTimeoutMs = 0;
     CHECK(placed().verdict == Verdict::Refuse);
-    request.begun = true;
+    request.answerStarted = true;
     CHECK(placed().verdict == Verdict::Serve);
 }
 
@@ -145,7 +145,7 @@
     engines[1].tokenMs = 10;
     engines[1].pendingTokens[0] = 20'000;
     request.tokensOut = 300;
-    request.wholeBoundMs = 12'000;
+    request.completionTimeoutMs = 12'000;
     CHECK(placed().index == 1);
     engines[1].tokenMs = 46;
     CHECK(placed().reason == ExclusionReason::TooLate);
--- a/tests/gateway/prompt_homes_tests.cpp
+++ b/tests/gateway/prompt_homes_tests.cpp
@@ -3,7 +3,7 @@
 
 // Where shared parts of prompts are expected to lie.
 
-#include "portpaddle/gateway/prompt_homes.h"
+#include "portpaddle/gateway/prefix_affinity.h"
 
 #include <doctest/doctest.h>
 
@@ -34,15 +34,15 @@
     {
         std::vector<UpstreamCandidate> engines(6);
         RegionCandidate away;
-        std::vector<HomeCandidate> homes;
+        std::vector<AffinityUpstream> homes;
         for (std::size_t index = 0; index < engines.size(); ++index) {
             homes.push_back({ &engines[index], 100 + index });
         }
-        std::vector<HomeRegion> regions{ { nullptr, ownRegionKey, ownUpstreams } };
+        std::vector<AffinityRegion> regions{ { nullptr, ownRegionKey, ownUpstreams } };
         if (otherUpstreams > 0) {
             regions.push_back({ &away, otherRegionKey, otherUpstreams });
         }
-        expectAtHomes(prompt, regions, homes);
+        applyPrefixAffinity(prompt, regions, homes);
         std::vector<double> kept;
         for (const UpstreamCandidate &engine : engines) {
             kept.push_back(engine.cachedTokens);
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(HomesFixture, "Prompt homes, shared part, has one home region that keeps most and two engines in each region")
+TEST_CASE_FIXTURE(HomesFixture, "Prefix affinity, shared part, has a preferred region that keeps most and two engines per region")
 {
     for (std::uint64_t topic = 1; topic < 50; ++topic) {
         const std::vector<double> kept = expected(promptOf(topic));
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(HomesFixture, "Prompt homes, regions of unequal size, are chosen in proportion")
+TEST_CASE_FIXTURE(HomesFixture, "Prefix affinity, regions of unequal size, are chosen in proportion")
 {
     int away = 0;
     for (std::uint64_t topic = 1; topic <= 2'000; ++topic) {
@@ -79,14 +79,14 @@
     CHECK(away < 1'600);
 }
 
-TEST_CASE_FIXTURE(HomesFixture, "Prompt homes, region that cannot be reached, leaves all homes to the own one")
+TEST_CASE_FIXTURE(HomesFixture, "Prefix affinity, region that cannot be reached, leaves the own one as the preferred region")
 {
     for (std::uint64_t topic = 1; topic < 50; ++topic) {
         CHECK_FALSE(livesAway(expected(promptOf(topic), 6, 0)));
     }
 }
 
-TEST_CASE_FIXTURE(HomesFixture, "Prompt homes, prompt without a shared part, has none")
+TEST_CASE_FIXTURE(HomesFixture, "Prefix affinity, prompt without a shared part, has no preferred region or engine")
 {
     PromptFacts prompt;
     prompt.parts = { { 9, 2'000 } };
@@ -95,11 +95,11 @@
     CHECK(std::all_of(kept.begin(), kept.end(), [](double tokens) { return tokens == 0; }));
 }
 
-TEST_CASE("Prompt homes, engine known to keep all, is not expected to keep less")
+TEST_CASE("Prefix affinity, engine known to keep all, is not expected to keep less")
 {
     UpstreamCandidate engine;
     engine.cachedTokens = 5'000;
-    const std::vector<HomeRegion> regions{ { nullptr, ownRegionKey, 1 } };
-    expectAtHomes(promptOf(3), regions, { { &engine, 7 } });
+    const std::vector<AffinityRegion> regions{ { nullptr, ownRegionKey, 1 } };
+    applyPrefixAffinity(promptOf(3), regions, { { &engine, 7 } });
     CHECK(engine.cachedTokens == 5'000);
 }
