--- a/src/portpaddle/retries/retry_credit.cpp
+++ b/src/portpaddle/retries/retry_credit.cpp
@@ -11,34 +11,34 @@
 
 namespace {
 
-constexpr NameTable<RetryPayment, 3> paymentNames{ { "nobody", "credit", "debt" } };
+constexpr NameTable<RetryPayment, 3> retryPaymentNames{ { "nobody", "credit", "debt" } };
 
-// Tenths that are added up to one fall short of it by their last bits.
-constexpr double wholeRepeat = 1 - 1e-9;
+// Ten additions of 0.1 give slightly less than 1 in floating point.
+constexpr double wholeRetry = 1 - 1e-9;
 
 } // namespace
 
 std::string_view nameOf(RetryPayment payment)
 {
-    return paymentNames[payment];
+    return retryPaymentNames[payment];
 }
 
-void RetryCredit::setOptions(const RetryBudgetOptions &terms, SteadyTime now)
+void RetryCredit::setOptions(const RetryBudgetOptions &options, SteadyTime now)
 {
-    if (terms == options_) {
+    if (options == options_) {
         return;
     }
     for (auto &[service, account] : accounts_) {
         refill(account, now);
     }
-    options_ = terms;
+    options_ = options;
     if (options_.fixedPart <= 0) {
         fixedSince_.reset();
     } else if (!fixedSince_) {
         fixedSince_ = now;
     }
     for (auto &[service, account] : accounts_) {
-        limit(account, now);
+        applyCap(account, now);
     }
 }
 
@@ -49,16 +49,16 @@
     account.refilledAt = now;
 }
 
-/// What is under way takes room as if it were kept: a full link or a suspended daemon may hold it up for seconds, and it must not
-/// arrive together with as much again.
-void RetryCredit::limit(Account &account, SteadyTime now) const
+/// Retries in transit count against the cap as if they were saved: a full link or a suspended daemon may delay them for seconds,
+/// and they must not arrive together with as many new ones.
+void RetryCredit::applyCap(Account &account, SteadyTime now) const
 {
-    while (!account.firsts.empty() && account.firsts.front() < now - options_.window) {
-        account.firsts.pop_front();
+    while (!account.firstAttempts.empty() && account.firstAttempts.front() < now - options_.window) {
+        account.firstAttempts.pop_front();
     }
-    const double saved = options_.savedShare * options_.ratio * static_cast<double>(account.firsts.size());
-    const double kept = saved + options_.keptShare * options_.fixedPart + options_.rounding;
-    account.level = std::min(account.level, kept - account.underWay);
+    const double saved = options_.savedShare * options_.ratio * static_cast<double>(account.firstAttempts.size());
+    const double maxLevel = saved + options_.keptShare * options_.fixedPart + options_.rounding;
+    account.level = std::min(account.level, maxLevel - account.inTransit);
 }
 
 RetryCredit::Account &RetryCredit::accountAt(const std::string &service, SteadyTime now)
@@ -70,16 +70,16 @@
         account.refilledAt = fixedSince_.value_or(now);
     }
     refill(account, now);
-    limit(account, now);
+    applyCap(account, now);
     return account;
 }
 
 void RetryCredit::recordFirstAttempt(const std::string &service, SteadyTime now)
 {
-    Account &sent = accountAt(service, now);
-    sent.firsts.push_back(now);
-    sent.level += (1 - options_.savedShare) * options_.ratio;
-    limit(sent, now);
+    Account &creditedAccount = accountAt(service, now);
+    creditedAccount.firstAttempts.push_back(now);
+    creditedAccount.level += (1 - options_.savedShare) * options_.ratio;
+    applyCap(creditedAccount, now);
 }
 
 double RetryCredit::left(const std::string &service, SteadyTime now)
@@ -89,7 +89,7 @@
 
 bool RetryCredit::allowsRetry(const std::string &service, SteadyTime now)
 {
-    return left(service, now) >= wholeRepeat;
+    return left(service, now) >= wholeRetry;
 }
 
 RetryPayment RetryCredit::takeRetry(const std::string &service, SteadyTime now)
@@ -103,21 +103,21 @@
 
 void RetryCredit::forceRetry(const std::string &service, SteadyTime now)
 {
-    Account &taken = accountAt(service, now);
-    taken.level -= 1;
-    ++taken.underWay;
+    Account &debitedAccount = accountAt(service, now);
+    debitedAccount.level -= 1;
+    ++debitedAccount.inTransit;
 }
 
 void RetryCredit::recordRetryArrival(const std::string &service, SteadyTime now)
 {
-    --accountAt(service, now).underWay;
+    --accountAt(service, now).inTransit;
 }
 
 void RetryCredit::refundRetry(const std::string &service, SteadyTime now)
 {
-    Account &returned = accountAt(service, now);
-    --returned.underWay;
-    returned.level += 1;
+    Account &refundedAccount = accountAt(service, now);
+    --refundedAccount.inTransit;
+    refundedAccount.level += 1;
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/retries/retry_credit.h
+++ b/src/portpaddle/retries/retry_credit.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The repeats that one daemon may make of a system-wide retry budget without asking anyone.
+/// The part of a system-wide retry budget that one daemon may spend without asking other daemons.
 #pragma once
 
 #include "portpaddle/interfaces/clock.h"
@@ -14,13 +14,13 @@
 
 namespace Portpaddle {
 
-/// On whose account an attempt after the first of a request goes.
+/// Which account pays for an attempt after the first of a request.
 enum class RetryPayment {
     /// No upstream saw the request, or there was no such attempt.
     Nobody,
-    /// What the daemon had earned.
+    /// The retry was paid from credit that the daemon had earned.
     Credit,
-    /// What it will earn: a run that went on elsewhere, whatever was left.
+    /// The retry was charged to credit that the daemon will earn: a run that moved to another upstream, whatever was left.
     Debt,
 };
 std::string_view nameOf(RetryPayment payment);
@@ -28,64 +28,64 @@
 /// The budget of one daemon for each service.
 struct RetryBudgetOptions
 {
-    /// Repeats allowed per first send.
+    /// Retries allowed per first attempt.
     double ratio = 0.1;
-    /// Repeats allowed besides in one window.
+    /// Retries allowed in one window in addition to the ratio.
     double fixedPart = 0;
-    /// Held besides from the start, from 0 to under 1. Drawn by chance, so that many daemons that earn parts of repeats make
-    /// together as many whole ones as they earn.
+    /// Additional credit from the start, in [0, 1). Each daemon draws it at random, so that many daemons that earn fractions of
+    /// retries make as many whole retries together as they earn.
     double rounding = 0;
     std::chrono::milliseconds window{ 10'000 };
-    /// Of what first sends pay for, the part that is kept for a window, from 0 to 1; the rest may be spent at once.
+    /// Fraction, from 0 to 1, of the credit from first attempts that is saved for a window; the rest may be spent at once.
     double savedShare = 0.5;
-    /// Of the fixed part, what may be kept, and what comes back in one window; no more than 1 together.
+    /// Fractions of the fixed part that may be saved and that are refilled in one window; their sum is at most 1.
     double keptShare = 0.5;
     double refillShare = 0.4;
 
     bool operator==(const RetryBudgetOptions &) const = default;
 };
 
-/// Holds the credit for repeats of each service. Belongs to one event loop.
+/// Keeps the retry credit of each service. Belongs to one event loop.
 ///
-/// Whatever dies, starts or takes over callers, the repeats that arrive in any window are no more than the budget: what all
-/// daemons hold and have under way at its beginning is bounded by the requests of the window before, what they earn in it by its
-/// own.
+/// The retries that arrive in any window stay within the budget, whichever daemons stop, start or take over callers: the credit
+/// that all daemons have saved or in transit at the start of a window is bounded by the requests of the previous window, and the
+/// credit that they earn during the window by the requests of that window.
 class RetryCredit
 {
 public:
-    void setOptions(const RetryBudgetOptions &terms, SteadyTime now);
+    void setOptions(const RetryBudgetOptions &options, SteadyTime now);
     void recordFirstAttempt(const std::string &service, SteadyTime now);
-    /// How many repeats are left now; below zero where runs that went on elsewhere took more.
+    /// Returns how many retries are left now; negative if runs that moved to other upstreams took more.
     double left(const std::string &service, SteadyTime now);
-    /// Whether a repeat would be allowed now.
+    /// Returns whether a retry would be allowed now.
     bool allowsRetry(const std::string &service, SteadyTime now);
-    /// Takes one repeat and tells what pays for it; takes none where nothing does.
+    /// Takes credit for one retry and returns what pays for it; takes nothing if the credit does not suffice.
     RetryPayment takeRetry(const std::string &service, SteadyTime now);
-    /// Takes one that is made whatever is left.
+    /// Takes credit for a retry that is made whatever is left.
     void forceRetry(const std::string &service, SteadyTime now);
-    /// A repeat that was taken has reached its upstream by now, if it ever will.
+    /// Records that a paid retry has reached its upstream by now, if it ever will.
     void recordRetryArrival(const std::string &service, SteadyTime now);
-    /// A repeat that was taken was not sent.
+    /// Gives back the credit of a paid retry that was not sent.
     void refundRetry(const std::string &service, SteadyTime now);
 
 private:
     struct Account
     {
-        std::deque<SteadyTime> firsts;
+        std::deque<SteadyTime> firstAttempts;
         double level = 0;
         SteadyTime refilledAt{};
-        /// Repeats that are paid for and may not have arrived.
-        unsigned underWay = 0;
+        /// Retries that are paid for and may not have arrived.
+        unsigned inTransit = 0;
     };
 
-    /// The account as of now.
+    /// Returns the account of @p service, refilled and capped as of @p now.
     Account &accountAt(const std::string &service, SteadyTime now);
     void refill(Account &account, SteadyTime now) const;
-    /// Drops what may not be kept.
-    void limit(Account &account, SteadyTime now) const;
+    /// Drops the credit above what may be saved.
+    void applyCap(Account &account, SteadyTime now) const;
 
     RetryBudgetOptions options_;
-    /// Since when there has been a fixed part.
+    /// The time from which the fixed part has been above zero.
     std::optional<SteadyTime> fixedSince_;
     std::unordered_map<std::string, Account> accounts_;
 };
--- a/src/portpaddle/retries/retry_members.cpp
+++ b/src/portpaddle/retries/retry_members.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// A daemon that the store does not confirm goes on spending for this long: outages of the store of up to 9 s are planned for, and
-// one that cannot register is left out by the others in the end.
-constexpr std::chrono::seconds confirmationAge{ 30 };
-// One that is not listed any more is counted for longer than it may go on spending and its repeats count at upstreams.
-constexpr std::chrono::seconds memberMemory{ 60 };
+// A daemon goes on spending for this long after the store last confirmed its registration: outages of the store of up to 9 s must
+// not stop retries, and the other daemons eventually stop counting a daemon that cannot register.
+constexpr std::chrono::seconds maxConfirmationAge{ 30 };
+// A daemon that is no longer listed is counted for longer than it may go on spending and its retries count at upstreams.
+constexpr std::chrono::seconds removedRetention{ 60 };
 
 } // namespace
 
@@ -31,11 +31,12 @@
 {
     for (const std::string &daemon : listed_) {
         if (!daemons.contains(daemon) && daemon != ownId_) {
-            left_[daemon] = now;
+            removed_[daemon] = now;
         }
     }
     listed_ = std::move(daemons);
-    std::erase_if(left_, [&](const auto &entry) { return listed_.contains(entry.first) || now - entry.second > memberMemory; });
+    std::erase_if(removed_,
+                  [&](const auto &entry) { return listed_.contains(entry.first) || now - entry.second > removedRetention; });
 }
 
 void RetryMembers::confirmList(SteadyTime now)
@@ -48,9 +49,9 @@
 
 unsigned RetryMembers::count(SteadyTime now) const
 {
-    const auto remembered
-        = std::count_if(left_.begin(), left_.end(), [now](const auto &entry) { return now - entry.second <= memberMemory; });
-    const std::size_t others = listed_.size() - listed_.count(ownId_) + static_cast<std::size_t>(remembered);
+    const auto removedCount = std::count_if(removed_.begin(), removed_.end(),
+                                            [now](const auto &entry) { return now - entry.second <= removedRetention; });
+    const std::size_t others = listed_.size() - listed_.count(ownId_) + static_cast<std::size_t>(removedCount);
     return static_cast<unsigned>(others + 1);
 }
 
@@ -59,10 +60,10 @@
     return ownListedSince_;
 }
 
-/// A daemon that has just started may know too few of those that divide the budget, and not all of them know it.
+/// A daemon that has just started may know too few of the daemons that share the budget, and not all of them know it yet.
 bool RetryMembers::maySpend(SteadyTime now) const
 {
-    return ownListedSince_ && now - *ownListedSince_ >= settling_ && now - ownConfirmed_ <= confirmationAge;
+    return ownListedSince_ && now - *ownListedSince_ >= settling_ && now - ownConfirmed_ <= maxConfirmationAge;
 }
 
 } // namespace Portpaddle
