--- a/src/portpaddle/limits/limit_digest.cpp
+++ b/src/portpaddle/limits/limit_digest.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// A digest with so many bytes of other entries still takes the most entries of one kind below the usual path MTU.
-constexpr std::size_t roomyBytes = 600;
+// A digest with this many bytes of other entries still fits the maximum number of entries of one kind below the usual path MTU.
+constexpr std::size_t maxOtherEntryBytes = 600;
 
 std::size_t entryBytes(const Wire::LoadDigestT &digest)
 {
@@ -20,22 +20,22 @@
 }
 
 template<typename Entry>
-void moveSome(std::vector<Entry> &from, std::vector<Entry> &to)
+void moveEntries(std::vector<Entry> &from, std::vector<Entry> &to)
 {
     const auto count = static_cast<std::ptrdiff_t>(std::min(maxDigestLimits, from.size()));
     to.assign(std::prev(from.end(), count), from.end());
     from.erase(std::prev(from.end(), count), from.end());
 }
 
-/// One kind at a time, so that a full one still fits.
-void fill(Wire::LoadDigestT &digest, LimitDigest &news)
+/// Adds entries of one kind only, so that the maximum number of them still fits.
+void addEntries(Wire::LoadDigestT &digest, LimitDigest &limitEntries)
 {
-    if (!news.counts.empty()) {
-        moveSome(news.counts, digest.limit_counts);
-    } else if (!news.grants.empty()) {
-        moveSome(news.grants, digest.limit_grants);
+    if (!limitEntries.counts.empty()) {
+        moveEntries(limitEntries.counts, digest.limit_counts);
+    } else if (!limitEntries.grants.empty()) {
+        moveEntries(limitEntries.grants, digest.limit_grants);
     } else {
-        moveSome(news.demands, digest.limit_demands);
+        moveEntries(limitEntries.demands, digest.limit_demands);
     }
 }
 
@@ -46,18 +46,18 @@
     return counts.empty() && grants.empty() && demands.empty();
 }
 
-void attachLimits(std::vector<Wire::LoadDigestT> &digests, const Wire::LoadDigestT &header, LimitDigest news)
+void attachLimits(std::vector<Wire::LoadDigestT> &digests, const Wire::LoadDigestT &header, LimitDigest limitEntries)
 {
     for (Wire::LoadDigestT &digest : digests) {
-        if (!news.empty() && entryBytes(digest) <= roomyBytes) {
-            fill(digest, news);
+        if (!limitEntries.empty() && entryBytes(digest) <= maxOtherEntryBytes) {
+            addEntries(digest, limitEntries);
         }
     }
-    while (!news.empty()) {
+    while (!limitEntries.empty()) {
         Wire::LoadDigestT digest = header;
         digest.sequence += digests.size();
         digest.services.clear();
-        fill(digest, news);
+        addEntries(digest, limitEntries);
         digests.push_back(std::move(digest));
     }
 }
--- a/src/portpaddle/limits/limit_digest.h
+++ b/src/portpaddle/limits/limit_digest.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Puts what is told of limits into the digests that go out anyway.
+/// Adds the entries about organisation limits to the digests that are sent anyway.
 #pragma once
 
 #include "portpaddle/wire/load_generated.h"
@@ -11,10 +11,10 @@
 
 namespace Portpaddle {
 
-/// Entries of each kind that one digest holds; larger ones are refused.
+/// Maximum number of entries of each kind in one digest; digests with more are rejected.
 inline constexpr std::size_t maxDigestLimits = 24;
 
-/// What one daemon tells of limits at one time.
+/// The entries about limits that one daemon sends at one time.
 struct LimitDigest
 {
     std::vector<Wire::LimitCount> counts;
@@ -24,7 +24,8 @@
     bool empty() const;
 };
 
-/// Spreads @p news over @p digests where these have room, and over more of them like @p header. Their sequence goes on.
-void attachLimits(std::vector<Wire::LoadDigestT> &digests, const Wire::LoadDigestT &header, LimitDigest news);
+/// Distributes @p limitEntries over those of @p digests that have room, then over new digests with the fields of @p header, whose
+/// sequence numbers continue those of @p digests.
+void attachLimits(std::vector<Wire::LoadDigestT> &digests, const Wire::LoadDigestT &header, LimitDigest limitEntries);
 
 } // namespace Portpaddle
--- a/src/portpaddle/limits/slices.cpp
+++ b/src/portpaddle/limits/limit_share.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "portpaddle/limits/slices.h"
+#include "portpaddle/limits/limit_share.h"
 
 #include <algorithm>
 #include <cmath>
@@ -10,14 +10,15 @@
 
 namespace {
 
-/// Part of the limit that is split evenly whatever the demand, so that nobody starves before others heard of it.
+/// Fraction of the limit that is split evenly whatever the demand, so that a daemon with new demand is not starved before the
+/// other daemons know of its demand.
 constexpr double evenPart = 0.25;
-/// Longer than a change of demand takes to reach everyone, so that at most one doubling happens unseen.
+/// Longer than a change of demand takes to reach all daemons, so that a share at most doubles before the others know.
 constexpr double doublingMs = 10'000;
 
 } // namespace
 
-double targetShare(const SliceInput &input)
+double targetShare(const ShareInput &input)
 {
     const double even = 1.0 / std::max(1U, input.daemons);
     const double demand = input.ownDemand + input.othersDemand;
@@ -27,16 +28,16 @@
     return evenPart * even + (1 - evenPart) * input.ownDemand / demand;
 }
 
-double ShareMover::share() const
+double ShareController::share() const
 {
     return share_;
 }
 
-void ShareMover::update(const SliceInput &input, Millis now)
+void ShareController::update(const ShareInput &input, Millis now)
 {
     const double target = targetShare(input);
     if (share_ == 0) {
-        // A newcomer starts with the even split; what demand has moved elsewhere is taken off at the next update.
+        // A new share starts at the even split; the next update reduces it where the demand is at other daemons.
         share_ = 1.0 / std::max(1U, input.daemons);
         updatedAt_ = now;
         return;
--- a/src/portpaddle/limits/limiter.cpp
+++ b/src/portpaddle/limits/limiter.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// A bucket holds this many seconds of its rate, and room for one request at least.
+/// The capacity of a bucket is this many seconds of its rate, and at least one request.
 constexpr double burstSeconds = 1;
-/// Demand is measured over windows of this length and smoothed by half.
+/// Demand is measured over windows of this length and smoothed exponentially.
 constexpr Millis demandWindow{ 1'000 };
 constexpr double smoothing = 0.5;
 constexpr double negligibleDemand = 0.01;
@@ -78,7 +78,7 @@
     if (requestRate > 0 && state.requests.level < 1) {
         return limitReached("requests a second", policy.maxRequestsPerSecond, (1 - state.requests.level) / requestRate);
     }
-    // A single request may be larger than the bucket: it is taken from a full one and paid off afterwards.
+    // A single request may need more tokens than the bucket holds: it is admitted when the bucket is full and leaves a debt.
     const double needed = std::min(tokens, std::max(1.0, tokenRate * burstSeconds));
     if (tokenRate > 0 && state.tokens.level < needed) {
         return limitReached("tokens a second", policy.maxTokensPerSecond, (needed - state.tokens.level) / tokenRate);
@@ -108,7 +108,7 @@
         byOrganisation[other.organisation] += other.requestsPerSecond;
     }
     for (auto &[organisation, state] : states_) {
-        state.share.update(SliceInput{ state.demand, byOrganisation[organisation], daemons, partitioned }, now);
+        state.share.update(ShareInput{ state.demand, byOrganisation[organisation], daemons, partitioned }, now);
     }
 }
 
@@ -147,7 +147,7 @@
     if (isNew) {
         state.refilledAt = now;
         state.measuredAt = now;
-        state.share.update(SliceInput{ 0, 0, daemons_, partitioned_ }, now);
+        state.share.update(ShareInput{ 0, 0, daemons_, partitioned_ }, now);
     }
     return state;
 }
--- a/src/portpaddle/limits/limiter.h
+++ b/src/portpaddle/limits/limiter.h
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Admission by the limits of organisations, without a call on the request path.
+/// Admits requests within the limits of their organisations, without a remote call on the request path.
 #pragma once
 
-#include "portpaddle/limits/slices.h"
+#include "portpaddle/limits/limit_share.h"
 #include "portpaddle/settings/compiled.h"
 
 #include <memory>
@@ -15,14 +15,14 @@
 
 namespace Portpaddle {
 
-/// How much one organisation asked of this daemon lately.
+/// The recent demand of one organisation at this daemon.
 struct OwnDemand
 {
     std::string organisation;
     double requestsPerSecond = 0;
 };
 
-/// What the daemons around tell of one organisation.
+/// The demand of one organisation that other daemons reported.
 struct OthersDemand
 {
     std::string organisation;
@@ -31,7 +31,7 @@
 
 class Limiter;
 
-/// Counts as a request in progress until destroyed.
+/// Counts as a request in progress until it is destroyed.
 class Permit
 {
 public:
@@ -46,18 +46,19 @@
     std::string organisation_;
 };
 
-/// Thread-safe; one per daemon.
+/// Limits the requests of each organisation. Thread-safe; one per daemon.
 class Limiter
 {
 public:
-    /// A permit, or LimitReached as not run with the time after which another try helps.
+    /// Returns a permit, or the error LimitReached (not run) with the time after which a retry may succeed.
     Result<Permit> admit(const std::string &organisation, const RequestPolicy &policy, double tokens, Millis now);
-    /// Charges tokens that were generated beyond what admission counted.
+    /// Charges tokens that were generated beyond those counted on admission.
     void charge(const std::string &organisation, double tokens);
-    /// Updates the slices from what others ask for.
+    /// Updates the shares of this daemon from the demand at other daemons.
     void update(const std::vector<OthersDemand> &others, unsigned daemons, bool partitioned, Millis now);
-    /// The organisations asking now, the busiest first.
+    /// Returns the organisations with demand now, in descending order of demand.
     std::vector<OwnDemand> demand(Millis now);
+    /// Returns the share, in (0, 1], of the limit of @p organisation that this daemon may spend.
     double shareOf(const std::string &organisation);
 
 private:
@@ -72,7 +73,7 @@
     };
     struct State
     {
-        ShareMover share;
+        ShareController share;
         Bucket requests;
         Bucket tokens;
         unsigned running = 0;
--- a/src/portpaddle/limits/organisation_limits.cpp
+++ b/src/portpaddle/limits/organisation_limits.cpp
@@ -13,29 +13,30 @@
 
 namespace {
 
-// Grants come each 100 ms; after so many lost ones the daemon is cut off, or its gatherer is gone.
-constexpr std::chrono::milliseconds grantAge{ 1'000 };
-// Counts of an organisation are told this long after the last request, in case that datagrams are lost.
-constexpr std::chrono::milliseconds toldAfterLast{ 1'000 };
-// News of another region come each 400 ms; after so long some are missing.
-constexpr std::chrono::milliseconds regionSilence{ 900 };
-// Of its even part; a region in which nothing is asked keeps it for the first requests there.
-constexpr double idlePart = 0.05;
-// Callers come back no earlier: news of what they do take that long to go round.
-constexpr double shortestReturnSeconds = 0.15;
-constexpr double longestReturnSeconds = 2;
+// Grants arrive every 100 ms; without any for this time the daemon is partitioned or its aggregator has gone.
+constexpr std::chrono::milliseconds maxGrantAge{ 1'000 };
+// The counts of an organisation are reported for this long after its last request, because datagrams may be lost.
+constexpr std::chrono::milliseconds reportingTime{ 1'000 };
+// Another region reports its demand every 400 ms; after this time at least one report is missing.
+constexpr std::chrono::milliseconds maxRegionReportAge{ 900 };
+// Fraction of its equal share that a region without demand keeps for the first requests there.
+constexpr double idleFraction = 0.05;
+// Callers are asked to retry no earlier than this, since reports of their requests need that long to reach all daemons.
+constexpr double minRetryDelaySeconds = 0.15;
+constexpr double maxRetryDelaySeconds = 2;
 
-std::uint32_t wrapped(double units)
+std::uint32_t toWrappingCounter(double units)
 {
     return static_cast<std::uint32_t>(static_cast<std::int64_t>(std::llround(units)));
 }
 
-/// When a request of @p units fits a bucket that fills at @p perSecond, spread so that callers do not come back together.
-std::chrono::milliseconds returnTime(double units, double perSecond, RandomSource &random)
+/// Returns the time in which a bucket that fills at @p perSecond gains @p units, randomised so that callers do not all retry at
+/// the same time.
+std::chrono::milliseconds retryDelay(double units, double perSecond, RandomSource &random)
 {
-    const double whole = perSecond > 0 ? units / perSecond : longestReturnSeconds;
+    const double whole = perSecond > 0 ? units / perSecond : maxRetryDelaySeconds;
     const double spread = 0.5 + random.fraction();
-    const double wait = std::clamp(whole, shortestReturnSeconds, longestReturnSeconds) * spread;
+    const double wait = std::clamp(whole, minRetryDelaySeconds, maxRetryDelaySeconds) * spread;
     return std::chrono::milliseconds(std::llround(wait * 1'000));
 }
 
@@ -60,10 +61,10 @@
     tolerance_ = tolerance;
 }
 
-void OrganisationLimits::setOrganisations(const OrganisationTable &book, SteadyTime now)
+void OrganisationLimits::setOrganisations(const OrganisationTable &table, SteadyTime now)
 {
     std::set<std::uint32_t> limited;
-    for (const auto &organisation : book.all()) {
+    for (const auto &organisation : table.all()) {
         if (!organisation->limit.isSet()) {
             continue;
         }
@@ -89,28 +90,29 @@
     return found == states_.end() ? nullptr : &found->second;
 }
 
-/// Regions that are heard divide by what they told. One that was never heard has its even part, and one that fell silent the part
-/// that it had: it may be cut off and do the same.
+/// Regions with current reports divide the limit in proportion to their reported demand. A region that never reported gets an
+/// equal share, and a region whose reports stopped keeps its last share: it may be partitioned and divide the limit in the same
+/// way.
 double OrganisationLimits::shareOf(const State &state, const std::string &region, SteadyTime now) const
 {
-    const double even = 1.0 / static_cast<double>(std::max<std::size_t>(1, regions_.size()));
+    const double evenShare = 1.0 / static_cast<double>(std::max<std::size_t>(1, regions_.size()));
     double left = 1;
-    double asked = 0;
-    double askedThere = 0;
+    double totalWeight = 0;
+    double regionWeight = 0;
     for (const std::string &each : regions_) {
-        const auto told = state.told.find(each);
-        if (told == state.told.end() && each != ownRegion_) {
-            left -= even;
-        } else if (each != ownRegion_ && now - told->second.at > regionSilence) {
-            left -= told->second.share;
+        const auto reportedDemand = state.reportedDemand.find(each);
+        if (reportedDemand == state.reportedDemand.end() && each != ownRegion_) {
+            left -= evenShare;
+        } else if (each != ownRegion_ && now - reportedDemand->second.at > maxRegionReportAge) {
+            left -= reportedDemand->second.share;
         } else {
-            const double rate = told == state.told.end() ? 0 : told->second.asked;
-            const double weight = rate + idlePart * even * state.limit.perSecond;
-            asked += weight;
-            askedThere = each == region ? weight : askedThere;
+            const double rate = reportedDemand == state.reportedDemand.end() ? 0 : reportedDemand->second.asked;
+            const double weight = rate + idleFraction * evenShare * state.limit.perSecond;
+            totalWeight += weight;
+            regionWeight = each == region ? weight : regionWeight;
         }
     }
-    return asked > 0 ? std::max(0.0, left) * askedThere / asked : even;
+    return totalWeight > 0 ? std::max(0.0, left) * regionWeight / totalWeight : evenShare;
 }
 
 void OrganisationLimits::updateShare(State &state, SteadyTime now)
@@ -122,11 +124,11 @@
 std::optional<AdmissionGrant> OrganisationLimits::currentGrant(std::uint32_t organisation, State &state, SteadyTime now)
 {
     if (isAggregator_(organisation, now)) {
-        state.region.take(ownDaemon_, state.own, now);
+        state.region.recordCounters(ownDaemon_, state.own, now);
         state.grant = state.region.grant(isSilent_, now);
         state.grantAt = now;
     }
-    return now - state.grantAt < grantAge ? std::optional(state.grant) : std::nullopt;
+    return now - state.grantAt < maxGrantAge ? std::optional(state.grant) : std::nullopt;
 }
 
 std::optional<std::chrono::milliseconds> OrganisationLimits::admit(const Organisation &organisation, double units, SteadyTime now,
@@ -140,52 +142,53 @@
     if (state == nullptr) {
         return std::nullopt;
     }
-    state->own.askedUnits += wrapped(units);
+    state->own.askedUnits += toWrappingCounter(units);
     ++state->own.askedRequests;
-    state->ownAsked.add(units, 1, now);
+    state->ownDemand.add(units, 1, now);
     state->askedAt = now;
     const std::optional<AdmissionGrant> grant = currentGrant(key, *state, now);
     bool admitted = false;
     if (grant) {
         admitted = grant->fraction >= 1 || random.fraction() < grant->fraction;
-        state->aloneRate = std::min(state->limit.perSecond, grant->ratePerAsked * state->ownAsked.slowRate(now));
-        state->alone = false;
+        state->ungrantedRate = std::min(state->limit.perSecond, grant->ratePerAsked * state->ownDemand.fullWindowRate(now));
+        state->withoutGrant = false;
     } else {
-        admitted = admitAlone(*state, units, now, random);
+        admitted = admitWithoutGrant(*state, units, now, random);
     }
     if (!admitted) {
-        return returnTime(units, state->limit.perSecond * state->share, random);
+        return retryDelay(units, state->limit.perSecond * state->share, random);
     }
-    state->own.admittedUnits += wrapped(units);
+    state->own.admittedUnits += toWrappingCounter(units);
     return std::nullopt;
 }
 
-bool OrganisationLimits::admitAlone(State &state, double units, SteadyTime now, RandomSource &random)
+bool OrganisationLimits::admitWithoutGrant(State &state, double units, SteadyTime now, RandomSource &random)
 {
     const bool fresh = state.grantAt == SteadyTime{};
     const double evenBurst = fresh ? state.limit.burst / daemons_ : 0;
-    if (!state.alone) {
-        // A daemon that has just started has its part of the burst until news come, in some 300 ms: after the loss of all of them
-        // nobody has spent anything for longer than that. Hundreds that are cut off together must not each begin with a request.
-        state.alone = true;
-        state.aloneRate = fresh ? state.limit.perSecond / daemons_ : state.aloneRate;
-        state.aloneLevel = fresh ? evenBurst : -random.fraction() * units;
-        state.aloneAt = now;
+    if (!state.withoutGrant) {
+        // A daemon that has just started has its part of the burst until grants arrive, within about 300 ms: if all daemons
+        // restart, none has spent anything for longer than that. Hundreds of daemons that are partitioned at once must not each
+        // start by admitting a request.
+        state.withoutGrant = true;
+        state.ungrantedRate = fresh ? state.limit.perSecond / daemons_ : state.ungrantedRate;
+        state.ungrantedLevel = fresh ? evenBurst : -random.fraction() * units;
+        state.ungrantedAt = now;
     }
-    state.aloneLevel = std::min(evenBurst, state.aloneLevel + state.aloneRate * inSeconds(now - state.aloneAt));
-    state.aloneAt = now;
-    if (state.aloneLevel < 0) {
+    state.ungrantedLevel = std::min(evenBurst, state.ungrantedLevel + state.ungrantedRate * inSeconds(now - state.ungrantedAt));
+    state.ungrantedAt = now;
+    if (state.ungrantedLevel < 0) {
         return false;
     }
-    state.aloneLevel -= units;
+    state.ungrantedLevel -= units;
     return true;
 }
 
 void OrganisationLimits::refund(const Organisation &organisation, double units)
 {
     if (State *state = find(organisationKey(organisation.name)); state != nullptr) {
-        state->own.admittedUnits -= wrapped(units);
-        state->aloneLevel += units;
+        state->own.admittedUnits -= toWrappingCounter(units);
+        state->ungrantedLevel += units;
     }
 }
 
@@ -193,7 +196,7 @@
 {
     std::vector<Wire::LimitCount> result;
     for (const auto &[key, state] : states_) {
-        if (selects(key) && state.askedAt != SteadyTime{} && now - state.askedAt < toldAfterLast) {
+        if (selects(key) && state.askedAt != SteadyTime{} && now - state.askedAt < reportingTime) {
             result.emplace_back(key, state.own.askedUnits, state.own.admittedUnits, state.own.askedRequests);
         }
     }
@@ -204,7 +207,7 @@
 {
     for (const Wire::LimitCount &count : counts) {
         if (State *state = find(count.organisation()); state != nullptr) {
-            state->region.take(daemon, { count.asked_units(), count.admitted_units(), count.asked_requests() }, now);
+            state->region.recordCounters(daemon, { count.asked_units(), count.admitted_units(), count.asked_requests() }, now);
         }
     }
 }
@@ -216,7 +219,7 @@
         if (!selects(key)) {
             continue;
         }
-        state.region.take(ownDaemon_, state.own, now);
+        state.region.recordCounters(ownDaemon_, state.own, now);
         const AdmissionGrant grant = state.region.grant(isSilent_, now);
         if (state.region.askedRate(now) > 0) {
             result.emplace_back(key, static_cast<float>(grant.fraction), static_cast<float>(grant.ratePerAsked));
@@ -241,7 +244,7 @@
     for (auto &[key, state] : states_) {
         if (selects(key)) {
             const double asked = state.region.askedRate(now);
-            state.told[ownRegion_] = { asked, now, state.share };
+            state.reportedDemand[ownRegion_] = { asked, now, state.share };
             updateShare(state, now);
             result.emplace_back(key, static_cast<float>(asked));
         }
@@ -256,10 +259,10 @@
     }
     for (const Wire::LimitDemand &demand : demands) {
         if (State *state = find(demand.organisation()); state != nullptr && std::isfinite(demand.units_per_second())) {
-            RegionDemand &told = state->told[region];
-            told.asked = std::max(0.0, static_cast<double>(demand.units_per_second()));
-            told.at = now;
-            told.share = shareOf(*state, region, now);
+            RegionDemand &reportedDemand = state->reportedDemand[region];
+            reportedDemand.asked = std::max(0.0, static_cast<double>(demand.units_per_second()));
+            reportedDemand.at = now;
+            reportedDemand.share = shareOf(*state, region, now);
             updateShare(*state, now);
         }
     }
--- a/src/portpaddle/limits/organisation_limits.h
+++ b/src/portpaddle/limits/organisation_limits.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Admission by the limits of organisations over all daemons, without a call on the request path.
+/// Admits requests within the limits of organisations over all daemons, without a remote call on the request path.
 #pragma once
 
 #include "portpaddle/limits/region_limit.h"
@@ -21,51 +21,55 @@
 
 class RandomSource;
 
-/// Belongs to one event loop. Each region spends a part of a limit by what was last asked in the regions; in a region the daemons
-/// that gather for an organisation let through what fits.
+/// Each region has a share of a limit in proportion to the demand that the regions last reported; in each region the aggregators
+/// of an organisation grant what fits this share. Belongs to one event loop.
 class OrganisationLimits
 {
 public:
-    /// Whether this daemon gathers for its region, by the key of an organisation.
+    /// Returns whether this daemon is an aggregator of its region for the organisation with this key.
     using IsAggregator = std::function<bool(std::uint32_t organisation, SteadyTime now)>;
-    /// Which organisations are told of, by their keys.
+    /// Returns whether the organisation with this key is reported.
     using Selects = std::function<bool(std::uint32_t organisation)>;
 
     OrganisationLimits(std::string ownDaemon, std::string ownRegion, IsAggregator isAggregator, RegionLimit::IsSilent isSilent);
 
-    /// What may go over limits. Call before setOrganisations().
+    /// Sets by how much limits may be exceeded. Call before setOrganisations().
     void setTolerance(const LimitTolerance &tolerance);
-    /// The limits in force; those that stay keep what was counted.
-    void setOrganisations(const OrganisationTable &book, SteadyTime now);
-    /// All regions of the fleet, and how many daemons there are.
+    /// Sets the limits in force; organisations that stay keep their counts.
+    void setOrganisations(const OrganisationTable &table, SteadyTime now);
+    /// Sets all regions of the fleet and the number of its daemons.
     void setFleet(std::set<std::string> regions, unsigned daemons);
 
-    /// No value where @p units more are admitted; else when a caller should come back.
+    /// Returns no value if @p units more are admitted, else the time after which the caller should retry.
     std::optional<std::chrono::milliseconds> admit(const Organisation &organisation, double units, SteadyTime now,
                                                    RandomSource &random);
-    /// An admitted request did not run.
+    /// Gives back the units of an admitted request that did not run.
     void refund(const Organisation &organisation, double units);
 
-    /// What was asked of this daemon, of organisations of which anything was asked lately.
+    /// Returns the counters of this daemon for the selected organisations with recent requests.
     std::vector<Wire::LimitCount> counts(const Selects &selects, SteadyTime now) const;
+    /// Applies the counters that @p daemon of this region reported.
     void takeCounts(const std::string &daemon, std::span<const Wire::LimitCount> counts, SteadyTime now);
-    /// What the daemons of this region may admit, of organisations of which anything is asked.
+    /// Returns what each daemon of this region may admit, for the selected organisations with demand.
     std::vector<Wire::LimitGrant> grants(const Selects &selects, SteadyTime now);
+    /// Applies the grants of this region's aggregators.
     void takeGrants(std::span<const Wire::LimitGrant> grants, SteadyTime now);
-    /// What is asked in this region. From here on the region's part goes by these figures.
+    /// Returns the demand in this region for the selected organisations. The share of this region depends on these values from
+    /// now on.
     std::vector<Wire::LimitDemand> demands(const Selects &selects, SteadyTime now);
+    /// Applies the demand that another region reported.
     void takeDemands(const std::string &region, std::span<const Wire::LimitDemand> demands, SteadyTime now);
 
-    /// Of what is asked for @p organisation, the part that was admitted by the last news; one where it has no limit.
+    /// Returns the fraction of the demand of @p organisation that the last grant admitted; 1 if it has no limit.
     double admittedPart(const std::string &organisation) const;
 
 private:
-    /// What a region told that is asked there.
+    /// The demand that a region last reported.
     struct RegionDemand
     {
         double asked = 0;
         SteadyTime at{};
-        /// Its part of the limit when it told that.
+        /// The share of the limit that the region had at this report.
         double share = 0;
     };
 
@@ -74,27 +78,27 @@
         OrganisationLimit limit;
         DemandCounters own;
         SteadyTime askedAt{};
-        RateWindow ownAsked;
+        RateWindow ownDemand;
         RegionLimit region;
         double share = 1;
-        std::map<std::string, RegionDemand> told;
+        std::map<std::string, RegionDemand> reportedDemand;
         AdmissionGrant grant;
         SteadyTime grantAt{};
-        /// For the time without grants.
-        bool alone = false;
-        double aloneLevel = 0;
-        double aloneRate = 0;
-        SteadyTime aloneAt{};
+        /// State of admission while no grant is in force.
+        bool withoutGrant = false;
+        double ungrantedLevel = 0;
+        double ungrantedRate = 0;
+        SteadyTime ungrantedAt{};
     };
 
     State *find(std::uint32_t organisation);
-    /// Divides the limit by what the regions told; gives the part of @p region.
+    /// Divides the limit in proportion to the reported demand and returns the share of @p region.
     double shareOf(const State &state, const std::string &region, SteadyTime now) const;
     void updateShare(State &state, SteadyTime now);
-    /// The grant in force; no value where nobody that gathers is heard.
+    /// Returns the grant in force; no value while no aggregator sends any.
     std::optional<AdmissionGrant> currentGrant(std::uint32_t organisation, State &state, SteadyTime now);
-    /// Without news a daemon goes on with the part that it had.
-    bool admitAlone(State &state, double units, SteadyTime now, RandomSource &random);
+    /// Admits requests at the last rate of this daemon while no grant is in force.
+    bool admitWithoutGrant(State &state, double units, SteadyTime now, RandomSource &random);
 
     std::string ownDaemon_;
     std::string ownRegion_;
@@ -106,7 +110,7 @@
     std::unordered_map<std::uint32_t, State> states_;
 };
 
-/// The key under which news name an organisation.
+/// Returns the key of an organisation in digests.
 std::uint32_t organisationKey(std::string_view name);
 
 } // namespace Portpaddle
--- a/src/portpaddle/limits/organisations.cpp
+++ b/src/portpaddle/limits/organisations.cpp
@@ -17,11 +17,11 @@
 namespace {
 
 constexpr NameTable<LimitUnit, 2> unitNames{ { "requests", "tokens" } };
-constexpr std::string_view scheme = "Bearer ";
-// Callers write the counts; engines' memories hold a tenth of this.
+constexpr std::string_view authorizationScheme = "Bearer ";
+// Token counts come from callers and are not trusted; an engine's memory holds a tenth of this.
 constexpr double maxTokensCounted = 10'000'000;
 
-/// A secret of this process, so that nobody outside can choose keys whose digests fall together.
+/// Returns a secret of this process, so that nobody outside can choose keys whose digests collide.
 const std::string &digestSecret()
 {
     static const std::string secret = [] {
@@ -85,7 +85,7 @@
     all_.push_back(std::make_shared<const Organisation>(std::move(organisation)));
     const Organisation *added = all_.back().get();
     if (!byName_.emplace(added->name, added).second) {
-        throw std::invalid_argument("organisation " + added->name + " is named twice");
+        throw std::invalid_argument("organisation " + added->name + " is configured twice");
     }
     for (const std::string &key : keys) {
         if (key.empty() || key.size() > longestKey) {
@@ -94,7 +94,7 @@
         const MessageCode digest = messageCode(digestSecret(), key);
         const auto [entry, isNew] = byKey_.try_emplace(prefixOf(digest), KeyEntry{ digest, added });
         if (!isNew && entry->second.organisation != added) {
-            throw std::invalid_argument("a key of organisation " + added->name + " belongs to another one");
+            throw std::invalid_argument("a key of organisation " + added->name + " belongs to another organisation");
         }
     }
 }
@@ -111,18 +111,18 @@
 
 const Organisation *OrganisationTable::findByAuthorization(std::string_view authorization) const
 {
-    const std::string_view given = authorization.substr(0, scheme.size());
-    if (!boost::beast::iequals({ given.data(), given.size() }, { scheme.data(), scheme.size() })) {
+    const std::string_view given = authorization.substr(0, authorizationScheme.size());
+    if (!boost::beast::iequals({ given.data(), given.size() }, { authorizationScheme.data(), authorizationScheme.size() })) {
         return nullptr;
     }
-    const std::string_view key = authorization.substr(scheme.size());
+    const std::string_view key = authorization.substr(authorizationScheme.size());
     if (key.empty() || key.size() > longestKey) {
         return nullptr;
     }
     const MessageCode digest = messageCode(digestSecret(), key);
     const auto found = byKey_.find(prefixOf(digest));
-    const bool proved = found != byKey_.end() && equalInConstantTime(textOf(found->second.digest), textOf(digest));
-    return proved ? found->second.organisation : nullptr;
+    const bool matches = found != byKey_.end() && equalInConstantTime(textOf(found->second.digest), textOf(digest));
+    return matches ? found->second.organisation : nullptr;
 }
 
 const Organisation *OrganisationTable::findByName(std::string_view name) const
--- a/src/portpaddle/limits/organisations.h
+++ b/src/portpaddle/limits/organisations.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The organisations that a configuration knows, found by the keys that prove them.
+/// The organisations of a configuration, found by their API keys.
 #pragma once
 
 #include "portpaddle/base/digest.h"
@@ -16,34 +16,34 @@
 
 namespace Portpaddle {
 
-/// In what an organisation's limit is counted.
+/// The unit in which an organisation's limit is counted.
 enum class LimitUnit { Requests, Tokens };
 std::string_view nameOf(LimitUnit unit);
 
-/// What one organisation may ask of all daemons together.
+/// What all daemons together may admit for one organisation.
 struct OrganisationLimit
 {
     LimitUnit unit = LimitUnit::Requests;
-    /// Units a second; zero means no limit.
+    /// Units a second; 0 means no limit.
     double perSecond = 0;
-    /// Units beyond that at once.
+    /// Units that may be admitted at once in addition.
     double burst = 0;
-    /// Tokens that a request without token counts stands for.
+    /// Tokens that are charged for a request without token counts.
     double plainTokens = 0;
 
     bool isSet() const;
-    /// Units that a request stands for; @p tokens is zero where it has no token counts.
+    /// Returns the units that are charged for a request; @p tokens is 0 if it has no token counts.
     double costOf(double tokens) const;
 };
 
-/// Whether @p region is one of @p homes; none of these means all regions.
+/// Returns whether @p region is one of @p homes; an empty list means all regions.
 bool isHome(const std::vector<std::string> &homes, std::string_view region);
 
-/// One organisation whose callers are served.
+/// An organisation whose callers are served.
 struct Organisation
 {
     std::string name;
-    /// Goes before the route's, where it is set.
+    /// Overrides the priority of the route if set.
     std::optional<unsigned> priority;
     OrganisationLimit limit;
     /// Regions that may serve it; empty means all.
@@ -52,20 +52,20 @@
     bool allowsRegion(std::string_view region) const;
 };
 
-/// Bounds of what one configuration may hold; more is refused as a whole.
+/// Limits on the content of one configuration; a larger configuration is rejected as a whole.
 inline constexpr std::size_t maxOrganisations = 10'000;
 inline constexpr std::size_t maxKeys = 100'000;
 inline constexpr std::size_t longestKey = 512;
 
-/// Filled once, read by all afterwards. Keeps keyed digests in place of keys.
+/// Is filled once and only read afterwards. Stores keyed digests instead of the keys.
 class OrganisationTable
 {
 public:
-    /// Throws std::invalid_argument for a name that is there already, a key of another organisation, or a bound exceeded.
+    /// Throws std::invalid_argument if the name is already in use, a key belongs to another organisation, or a limit is exceeded.
     void add(Organisation organisation, const std::vector<std::string> &keys);
     bool empty() const;
     const std::vector<std::shared_ptr<const Organisation>> &all() const;
-    /// The one whose key the value of an Authorization header holds; null when there is none.
+    /// Returns the organisation whose key the value of an Authorization header holds; null if there is none.
     const Organisation *findByAuthorization(std::string_view authorization) const;
     const Organisation *findByName(std::string_view name) const;
 
@@ -78,7 +78,7 @@
 
     std::vector<std::shared_ptr<const Organisation>> all_;
     std::unordered_map<std::string, const Organisation *> byName_;
-    /// By the first bytes of the digest.
+    /// Entries by the first bytes of their digest.
     std::unordered_map<std::uint64_t, KeyEntry> byKey_;
 };
 
--- a/src/portpaddle/limits/rate_window.cpp
+++ b/src/portpaddle/limits/rate_window.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds slotLength{ 100 };
-// With so many requests of mixed sizes the average is right to about a fifth.
-constexpr double enoughRequests = 30;
+// The average over this many requests of mixed sizes is accurate to about 20%.
+constexpr double reliableRequests = 30;
 
 std::int64_t slotNumber(SteadyTime now)
 {
@@ -33,15 +33,15 @@
 
 double RateWindow::rate(SteadyTime now) const
 {
-    return rateOver(enoughRequests, now);
+    return rateOver(reliableRequests, now);
 }
 
-double RateWindow::slowRate(SteadyTime now) const
+double RateWindow::fullWindowRate(SteadyTime now) const
 {
     return rateOver(std::numeric_limits<double>::infinity(), now);
 }
 
-double RateWindow::rateOver(double requestsEnough, SteadyTime now) const
+double RateWindow::rateOver(double minRequests, SteadyTime now) const
 {
     const std::int64_t newest = slotNumber(now);
     double units = 0;
@@ -54,8 +54,8 @@
             units += slot.units;
             requests += slot.requests;
         }
-        // The newest slot alone may have just begun.
-        if (back > 0 && requests >= requestsEnough) {
+        // The newest slot does not suffice alone, because it may have just begun.
+        if (back > 0 && requests >= minRequests) {
             break;
         }
     }
--- a/src/portpaddle/limits/region_limit.cpp
+++ b/src/portpaddle/limits/region_limit.cpp
@@ -11,43 +11,44 @@
 
 namespace {
 
-// A level above zero is spent, one below zero paid back, over this time: longer than news take within a region, so that all
-// daemons together do not swing.
+// A positive level is spent and a negative one paid back over this time. It is longer than digests need within a region, so that
+// the daemons do not oscillate together.
 constexpr double settleSeconds = 0.5;
-// A daemon that is cut off goes on with its part. The bounds on limits are counted over such windows; one that is dead for longer
-// leaves its part to the others.
-constexpr std::chrono::milliseconds longestAbsence{ 9'000 };
-// Half of what the deployment's sheet allows over a limit: this much of it is not kept back for daemons that are missing, most of
-// which are dead.
+// A partitioned daemon goes on spending its part, which is kept back for it for this time. The bounds on limits apply to windows
+// of this length; after it the part of a daemon that has died goes to the others.
+constexpr std::chrono::milliseconds maxAbsence{ 9'000 };
+// Half of the overshoot that a deployment allows: this fraction of a limit is not kept back for missing daemons, since most of
+// them have died.
 constexpr double toleratedMissing = 0.05;
-// Of daemons of which less was asked for so long nothing is known.
-constexpr std::chrono::milliseconds sourceMemory{ 60'000 };
+// The counters of a daemon are forgotten when it has not reported for this time.
+constexpr std::chrono::milliseconds sourceRetention{ 60'000 };
 constexpr double decaySeconds = 1;
-// A difference beyond this is no count but a daemon that started again.
-constexpr std::int32_t largestStep = 1 << 28;
-constexpr double leastAsked = 1e-9;
-// Counters of a daemon that is new here start from zero up to so many requests: in a large fleet most daemons are asked for a
-// small organisation once in several seconds. Beyond that they began long before.
-constexpr std::uint32_t fewRequests = 3;
-// From a request at one daemon until all daemons of the region admit less for it.
-constexpr double newsSeconds = 0.4;
-// Of what a limit tolerates; the rest is for regions that are cut off and daemons that are missing.
+// A larger difference of counters means a restart of the daemon.
+constexpr std::int32_t maxCounterStep = 1 << 28;
+constexpr double minAskedRate = 1e-9;
+// The counters of a new daemon are counted from zero if they hold at most this many requests: in a large fleet most daemons get a
+// request of a small organisation only once in several seconds. Larger counters began long before.
+constexpr std::uint32_t maxInitialRequests = 3;
+// Time from a request at one daemon until all daemons of the region admit less because of it.
+constexpr double propagationSeconds = 0.4;
+// Fraction of the tolerance of a limit; the rest is for partitioned regions and missing daemons.
 constexpr double toleratedForDelay = 0.5;
-// Of that, what evens out prompts which are larger than the region's part of the burst of a small limit.
+// Fraction of that for prompts which are larger than the region's share of the burst of a small limit.
 constexpr double toleratedForPrompts = 0.75;
 
-std::int32_t step(std::uint32_t now, std::uint32_t before)
+std::int32_t counterDelta(std::uint32_t now, std::uint32_t before)
 {
     return static_cast<std::int32_t>(now - before);
 }
 
-/// Whether the same daemon may have counted on from @p before to @p now; what was admitted may fall a little, by refunds.
-bool follows(const DemandCounters &now, const DemandCounters &before)
+/// Returns whether the same process may have counted from @p before to @p now; the admitted units may decrease a little by
+/// refunds.
+bool continues(const DemandCounters &now, const DemandCounters &before)
 {
-    const std::int32_t asked = step(now.askedUnits, before.askedUnits);
-    const std::int32_t requests = step(now.askedRequests, before.askedRequests);
-    return asked >= 0 && asked <= largestStep && requests >= 0
-        && std::abs(std::int64_t{ step(now.admittedUnits, before.admittedUnits) }) <= largestStep;
+    const std::int32_t asked = counterDelta(now.askedUnits, before.askedUnits);
+    const std::int32_t requests = counterDelta(now.askedRequests, before.askedRequests);
+    return asked >= 0 && asked <= maxCounterStep && requests >= 0
+        && std::abs(std::int64_t{ counterDelta(now.admittedUnits, before.admittedUnits) }) <= maxCounterStep;
 }
 
 } // namespace
@@ -63,28 +64,28 @@
     share_ = share;
     level_ = std::min(level_, burst_ * share_);
     if (fresh) {
-        // What is tolerated may have been spent by the process that gathered before this one.
+        // The previous aggregator may have spent all that is tolerated.
         level_ = -tolerated_;
     }
 }
 
-void RegionLimit::take(const std::string &daemon, const DemandCounters &counters, SteadyTime now)
+void RegionLimit::recordCounters(const std::string &daemon, const DemandCounters &counters, SteadyTime now)
 {
     const auto [position, isNew] = sources_.try_emplace(daemon);
     Source &source = position->second;
     const DemandCounters before = std::exchange(source.last, counters);
-    const SteadyTime heardBefore = std::exchange(source.heardAt, now);
-    const bool startedAgain = !isNew && !follows(counters, before);
-    const bool fromZero = isNew || startedAgain;
-    if (fromZero && (counters.askedRequests > fewRequests || !follows(counters, {}))) {
+    const SteadyTime reportedBefore = std::exchange(source.reportedAt, now);
+    const bool restarted = !isNew && !continues(counters, before);
+    const bool fromZero = isNew || restarted;
+    if (fromZero && (counters.askedRequests > maxInitialRequests || !continues(counters, {}))) {
         return;
     }
     const DemandCounters base = fromZero ? DemandCounters{} : before;
-    const auto asked = static_cast<double>(step(counters.askedUnits, base.askedUnits));
+    const auto asked = static_cast<double>(counterDelta(counters.askedUnits, base.askedUnits));
     refill(now);
-    level_ -= step(counters.admittedUnits, base.admittedUnits);
-    asked_.add(asked, step(counters.askedRequests, base.askedRequests), now);
-    const double decay = fromZero ? 0 : std::exp(-inSeconds(now - heardBefore) / decaySeconds);
+    level_ -= counterDelta(counters.admittedUnits, base.admittedUnits);
+    asked_.add(asked, counterDelta(counters.askedRequests, base.askedRequests), now);
+    const double decay = fromZero ? 0 : std::exp(-inSeconds(now - reportedBefore) / decaySeconds);
     source.asked = source.asked * decay + asked / decaySeconds;
 }
 
@@ -93,17 +94,17 @@
     return asked_.rate(now);
 }
 
-double RegionLimit::missingPart(const IsSilent &isSilent, SteadyTime now)
+double RegionLimit::missingFraction(const IsSilent &isSilent, SteadyTime now)
 {
-    std::erase_if(sources_, [now](const auto &entry) { return now - entry.second.heardAt > sourceMemory; });
+    std::erase_if(sources_, [now](const auto &entry) { return now - entry.second.reportedAt > sourceRetention; });
     double all = 0;
     double missing = 0;
     for (const auto &[daemon, source] : sources_) {
-        const SteadyTime::duration since = now - source.heardAt;
+        const SteadyTime::duration since = now - source.reportedAt;
         const bool silent = isSilent(daemon, now);
         const double asked = silent ? source.asked : source.asked * std::exp(-inSeconds(since) / decaySeconds);
-        all += silent && since > longestAbsence ? 0 : asked;
-        missing += silent && since <= longestAbsence ? asked : 0;
+        all += silent && since > maxAbsence ? 0 : asked;
+        missing += silent && since <= maxAbsence ? asked : 0;
     }
     return all > 0 ? missing / all : 0;
 }
@@ -124,10 +125,10 @@
 AdmissionGrant RegionLimit::grant(const IsSilent &isSilent, SteadyTime now)
 {
     refill(now);
-    missing_ = missingPart(isSilent, now);
-    const double asked = std::max(leastAsked, askedRate(now));
+    missing_ = missingFraction(isSilent, now);
+    const double asked = std::max(minAskedRate, askedRate(now));
     const double spendable = level_ + toleratedForPrompts * tolerated_;
-    const bool harmless = spendable >= 0 && (asked - rate()) * newsSeconds <= tolerated_;
+    const bool harmless = spendable >= 0 && (asked - rate()) * propagationSeconds <= tolerated_;
     const double fraction = harmless ? 1 : std::max(0.0, rate() + spendable / settleSeconds) / asked;
     return { fraction, rate() / asked };
 }
--- a/src/portpaddle/limits/region_limit.h
+++ b/src/portpaddle/limits/region_limit.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The part of an organisation's limit that the daemons of one region spend together.
+/// The share of an organisation's limit that the daemons of one region spend together.
 #pragma once
 
 #include "portpaddle/limits/organisations.h"
@@ -13,7 +13,7 @@
 
 namespace Portpaddle {
 
-/// What was asked of one daemon since its start, and admitted; all wrap.
+/// What one daemon was asked for and admitted since its start. All counters wrap around.
 struct DemandCounters
 {
     std::uint32_t askedUnits = 0;
@@ -24,60 +24,62 @@
 /// What each daemon of a region may admit.
 struct AdmissionGrant
 {
-    /// Of what is asked; one and more admits all.
+    /// Fraction of the demand; 1 and more admits all.
     double fraction = 1;
-    /// Units a second of the limit for each unit a second asked in the region.
+    /// Units a second of the limit for each unit a second of demand in the region.
     double ratePerAsked = 0;
 };
 
-/// What may go over a limit, in units.
+/// By how much a limit may be exceeded in a window.
 struct LimitTolerance
 {
-    /// Of what the limit admits in the window.
+    /// Fraction of what the limit admits in the window.
     double part = 0;
+    /// Units in addition to the fraction.
     double units = 0;
     std::chrono::seconds window{ 8 };
 };
 
-/// A bucket that counts what was admitted with the delay of the news, and lets through of what is asked the part that brings it
+/// A token bucket that learns of admitted units with the delay of digests, and grants the fraction of the demand that brings it
 /// back to its level. Belongs to one event loop.
 class RegionLimit
 {
 public:
-    /// Whether a daemon is not heard any more, whatever is asked of it.
+    /// Returns whether a daemon can no longer be reached, as opposed to one that has no requests to report.
     using IsSilent = std::function<bool(const std::string &daemon, SteadyTime now)>;
 
-    /// @p share of the limit belongs to this region.
+    /// Sets the limit and the @p share of it, from 0 to 1, that belongs to this region.
     void setOptions(const OrganisationLimit &limit, double share, const LimitTolerance &tolerance, SteadyTime now);
-    /// What @p daemon tells of itself.
-    void take(const std::string &daemon, const DemandCounters &counters, SteadyTime now);
-    /// Units a second asked in the region, over all daemons that are heard.
+    /// Adds what @p daemon was asked for and admitted since its last report.
+    void recordCounters(const std::string &daemon, const DemandCounters &counters, SteadyTime now);
+    /// Returns the demand in the region in units a second, over all daemons that report.
     double askedRate(SteadyTime now) const;
+    /// Returns what each daemon of the region may admit from now on.
     AdmissionGrant grant(const IsSilent &isSilent, SteadyTime now);
 
 private:
     struct Source
     {
         DemandCounters last;
-        SteadyTime heardAt{};
-        /// Units a second asked of it, decaying.
+        SteadyTime reportedAt{};
+        /// Exponentially decaying demand at this daemon in units a second.
         double asked = 0;
     };
 
     void refill(SteadyTime now);
-    /// The part of what is asked that daemons may be spending which are not heard any more.
-    double missingPart(const IsSilent &isSilent, SteadyTime now);
-    /// Units a second that the daemons which are heard may spend.
+    /// Returns the fraction of the demand that daemons which can no longer be reached may be spending.
+    double missingFraction(const IsSilent &isSilent, SteadyTime now);
+    /// Returns the units a second that the daemons which can be reached may spend.
     double rate() const;
 
     double perSecond_ = 0;
     double burst_ = 0;
     double share_ = 1;
-    /// What may be spent beyond the level before the news of it come.
+    /// Units that may be spent beyond the level before the reports of them arrive.
     double tolerated_ = 0;
-    /// Units that may be spent at once; below zero where more was spent.
+    /// Units that may be spent at once; negative if more was spent.
     double level_ = 0;
-    /// As of the last grant.
+    /// Fraction of the demand at missing daemons, as of the last grant.
     double missing_ = 0;
     SteadyTime refilledAt_{};
     RateWindow asked_;
--- a/tests/gateway/organisation_limits_tests.cpp
+++ b/tests/gateway/organisation_limits_tests.cpp
@@ -167,11 +167,11 @@
     for (int round = 0; round < 200; ++round) {
         now += 100ms;
         const auto any = [&random] { return static_cast<std::uint32_t>(random.next()) >> random.below(32); };
-        limit.take("hostile", { any(), any(), any() }, now);
-        limit.take("other", { 0xffffffffU, 0xffffffffU, static_cast<std::uint32_t>(round % 4) }, now);
+        limit.recordCounters("hostile", { any(), any(), any() }, now);
+        limit.recordCounters("other", { 0xffffffffU, 0xffffffffU, static_cast<std::uint32_t>(round % 4) }, now);
         honest.askedUnits += 1'000;
         ++honest.askedRequests;
-        limit.take("honest", honest, now);
+        limit.recordCounters("honest", honest, now);
         CHECK(std::isfinite(limit.grant(nobody, now).fraction));
         CHECK(limit.askedRate(now) >= 999);
     }
--- a/tests/support/limit_fleet.cpp
+++ b/tests/support/limit_fleet.cpp
@@ -218,7 +218,7 @@
     if (step_ % stepsOfNews != 0) {
         return;
     }
-    gathered_.take(daemon.name, daemon.asked, now_);
+    gathered_.recordCounters(daemon.name, daemon.asked, now_);
     Wire::LoadDigestT header;
     header.daemon = daemon.name;
     header.region = region;
