--- a/src/portpaddle/upstream_limits/limit_pace.cpp
+++ b/src/portpaddle/upstream_limits/limit_pace.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// A request that comes a little late must not slow down the next one; two at once would make bursts of many daemons add up.
+// Above 1, so that a request that is sent a little late does not delay the next one; below 2, since two requests at once would
+// let the bursts of many daemons add up.
 constexpr double maxTokens = 1.5;
 
 } // namespace
@@ -24,7 +25,7 @@
     tokens_ = std::min(maxTokens, tokens_ + perSecond_ * inSeconds(now - filledAt_));
     filledAt_ = now;
     perSecond_ = perSecond;
-    // Whoever has no share any more starts from nothing when it has one again: others spent it meanwhile.
+    // A daemon that loses its share starts without tokens when it gets one again: other daemons spent the rate meanwhile.
     tokens_ = perSecond > 0 ? tokens_ : 0;
 }
 
--- a/src/portpaddle/upstream_limits/limit_pace.h
+++ b/src/portpaddle/upstream_limits/limit_pace.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// When one daemon may send the next request to an upstream whose limit it holds a share of.
+/// Paces the requests of one daemon to an upstream according to the daemon's share of the upstream's limit.
 #pragma once
 
 #include "portpaddle/interfaces/clock.h"
@@ -12,15 +12,18 @@
 class LimitPace
 {
 public:
-    /// Holds nothing at first: what was sent before, by this process or the one before it, is not known.
+    /// Starts without tokens, since it is not known what this process or its predecessor sent before.
     explicit LimitPace(SteadyTime now);
 
-    /// From the last call until @p now tokens came in at the rate that was set; from now on at @p perSecond.
+    /// Adds the tokens since the last call at the previous rate, and sets the rate from @p now on to @p perSecond.
     void setRate(double perSecond, SteadyTime now);
+    /// Returns whether there is a token for one request.
     bool ready() const;
+    /// Takes the token of one request.
     void take();
-    /// How long until one is ready; the longest time there is where none comes.
+    /// Returns the time until a token is ready; the maximum duration if the rate is 0.
     SteadyTime::duration wait() const;
+    /// Returns the present rate in requests a second.
     double perSecond() const;
 
 private:
--- a/src/portpaddle/upstream_limits/limit_reading.cpp
+++ b/src/portpaddle/upstream_limits/limit_reading.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-// Longer texts are no rate.
-constexpr std::size_t longestText = 32;
+// Longer texts are not accepted as a rate.
+constexpr std::size_t maxTextLength = 32;
 
 double parseRate(std::string_view text)
 {
     double rate = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), rate);
     const bool whole = !text.empty() && parsed.ec == std::errc{} && parsed.ptr == text.data() + text.size();
-    return whole && text.size() <= longestText ? boundedRate(rate) : std::numeric_limits<double>::quiet_NaN();
+    return whole && text.size() <= maxTextLength ? boundedRate(rate) : std::numeric_limits<double>::quiet_NaN();
 }
 
 } // namespace
@@ -30,7 +30,7 @@
 double boundedRate(double perSecond)
 {
     const bool isRate = std::isfinite(perSecond) && perSecond >= 0;
-    return isRate ? std::clamp(perSecond, leastNamedRate, maxNamedRate) : std::numeric_limits<double>::quiet_NaN();
+    return isRate ? std::clamp(perSecond, minNamedRate, maxNamedRate) : std::numeric_limits<double>::quiet_NaN();
 }
 
 LimitReading readLimit(const boost::beast::http::fields &head, const std::string &name)
@@ -40,8 +40,8 @@
     for (auto field = first; field != last; ++field) {
         const double rate = parseRate(viewOf(field->value()));
         if (std::isnan(rate)) {
-            reading.word = reading.word == LimitKind::Absent ? LimitKind::Unreadable : reading.word;
-        } else if (reading.word != LimitKind::Named || rate < reading.perSecond) {
+            reading.kind = reading.kind == LimitKind::Absent ? LimitKind::Unreadable : reading.kind;
+        } else if (reading.kind != LimitKind::Named || rate < reading.perSecond) {
             reading = { LimitKind::Named, rate };
         }
     }
--- a/src/portpaddle/upstream_limits/limit_reading.h
+++ b/src/portpaddle/upstream_limits/limit_reading.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What an answer says of the limit of the upstream that gave it.
+/// Reads the limit that an upstream names in the head of an answer.
 #pragma once
 
 #include <boost/beast/http/fields.hpp>
@@ -11,24 +11,25 @@
 
 namespace Portpaddle {
 
-/// A smaller rate is taken for this one: an upstream that is sent nothing can never say that its need is over.
-inline constexpr double leastNamedRate = 0.05;
-/// A larger rate is taken for this one.
+/// Lower bound for rates, in requests a second: an upstream that is sent no requests could never withdraw its limit.
+inline constexpr double minNamedRate = 0.05;
+/// Upper bound for rates, in requests a second.
 inline constexpr double maxNamedRate = 1e6;
 
-/// What the head of an answer says.
+/// Whether the head of an answer names a limit.
 enum class LimitKind { Absent, Named, Unreadable };
 
+/// The limit that the head of an answer names.
 struct LimitReading
 {
-    LimitKind word = LimitKind::Absent;
-    /// Requests a second from all daemons together; set where a limit is named.
+    LimitKind kind = LimitKind::Absent;
+    /// Requests a second from all daemons together; set if a limit is named.
     double perSecond = 0;
 };
 
-/// The rate within the bounds above; not a number where it cannot be one.
+/// Returns the rate clamped to the bounds above; NaN if it is negative or not finite.
 double boundedRate(double perSecond);
-/// Reads the header @p name. Where it stands several times the lowest rate counts.
+/// Reads the header @p name. If it occurs several times, the lowest rate counts.
 LimitReading readLimit(const boost::beast::http::fields &head, const std::string &name);
 
 } // namespace Portpaddle
--- a/src/portpaddle/upstream_limits/limit_record.cpp
+++ b/src/portpaddle/upstream_limits/limit_record.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr std::string_view prefix = "portpaddle/limits/";
+constexpr std::string_view keyPrefix = "portpaddle/limits/";
 constexpr const char *rateField = "perSecond";
 constexpr int hexadecimal = 16;
-// While the limit stands it is written again when it has lapsed.
+// The record is written again when it expires while the limit is in force.
 constexpr std::chrono::seconds recordLease{ 60 };
 
 } // namespace
@@ -26,17 +26,17 @@
 LeasedRecord limitRecord(const StoredLimit &limit)
 {
     const nlohmann::json text{ { rateField, limit.perSecond } };
-    return { fmt::format("{}{:016x}", prefix, limit.upstream), text.dump(), recordLease, LogEvent::UpstreamLimitNotWritten };
+    return { fmt::format("{}{:016x}", keyPrefix, limit.upstream), text.dump(), recordLease, LogEvent::UpstreamLimitNotWritten };
 }
 
 std::optional<std::uint64_t> upstreamOfLimitKey(const std::string &key)
 {
-    if (!key.starts_with(prefix)) {
+    if (!key.starts_with(keyPrefix)) {
         return std::nullopt;
     }
     std::uint64_t upstream = 0;
     const char *end = key.data() + key.size();
-    const auto parsed = std::from_chars(key.data() + prefix.size(), end, upstream, hexadecimal);
+    const auto parsed = std::from_chars(key.data() + keyPrefix.size(), end, upstream, hexadecimal);
     return parsed.ec == std::errc{} && parsed.ptr == end ? std::optional(upstream) : std::nullopt;
 }
 
--- a/src/portpaddle/upstream_limits/limit_table.cpp
+++ b/src/portpaddle/upstream_limits/limit_table.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-// Of the rate; daemons tell it in single precision.
+// Relative to the rate; digests hold rates in single precision.
 constexpr double sameRate = 0.001;
-// News are taken for younger than they are by the time that they travelled. Two daemons that tell each other the same must not
-// make it younger each time.
-constexpr std::chrono::milliseconds longestTravel{ 250 };
+// A reported limit seems newer than it is by its transit time. Two daemons that report the same limit to each other must not make
+// it newer each time.
+constexpr std::chrono::milliseconds maxTransitTime{ 250 };
 
 } // namespace
 
-bool sameTerms(const KnownLimit &one, const KnownLimit &other)
+bool isSameLimit(const KnownLimit &one, const KnownLimit &other)
 {
     return one.ended == other.ended && (one.ended || std::abs(one.perSecond - other.perSecond) <= sameRate * one.perSecond);
 }
@@ -28,8 +28,8 @@
     const auto [entry, added] = limits_.try_emplace(upstream, limit);
     KnownLimit &known = entry->second;
     const bool limitedBefore = !added && !known.ended;
-    if (!added && sameTerms(known, limit)) {
-        known.saidAt = limit.saidAt;
+    if (!added && isSameLimit(known, limit)) {
+        known.answeredAt = limit.answeredAt;
         known.onlyStored = limit.onlyStored;
         return LimitChange::None;
     }
@@ -48,35 +48,35 @@
     return put(upstream, { perSecond, false, now, now, false, "answer" });
 }
 
-// An answer to a request that was on its way when the limit was named may be older than the answer that named it.
+// An answer without a limit to a request that was sent before the limit was named may be older than the answer that named it.
 LimitChange LimitTable::answeredWithout(std::uint64_t upstream, SteadyTime sentAt, SteadyTime now)
 {
     const KnownLimit *known = find(upstream);
-    const bool stands = known == nullptr || known->ended || (!known->onlyStored && sentAt <= known->saidAt);
-    return stands ? LimitChange::None : put(upstream, { known->perSecond, true, now, now, false, "answer" });
+    const bool remains = known == nullptr || known->ended || (!known->onlyStored && sentAt <= known->answeredAt);
+    return remains ? LimitChange::None : put(upstream, { known->perSecond, true, now, now, false, "answer" });
 }
 
-LimitChange LimitTable::told(std::uint64_t upstream, const KnownLimit &limit, SteadyTime now)
+LimitChange LimitTable::reported(std::uint64_t upstream, const KnownLimit &limit, SteadyTime now)
 {
     const KnownLimit *known = find(upstream);
     if (known == nullptr && limit.ended) {
         return LimitChange::None;
     }
     const bool first = known == nullptr || known->onlyStored;
-    const SteadyTime::duration travel = !first && sameTerms(*known, limit) ? longestTravel : SteadyTime::duration::zero();
-    if (!first && limit.saidAt <= known->saidAt + travel) {
+    const SteadyTime::duration transitTime = !first && isSameLimit(*known, limit) ? maxTransitTime : SteadyTime::duration::zero();
+    if (!first && limit.answeredAt <= known->answeredAt + transitTime) {
         return LimitChange::None;
     }
-    KnownLimit taken = limit;
-    taken.since = now;
-    return put(upstream, std::move(taken));
+    KnownLimit accepted = limit;
+    accepted.since = now;
+    return put(upstream, std::move(accepted));
 }
 
 LimitChange LimitTable::stored(std::uint64_t upstream, double perSecond, SteadyTime now)
 {
     const KnownLimit *known = find(upstream);
-    const bool saidByOthers = known != nullptr && !known->onlyStored;
-    if (saidByOthers || (known == nullptr && perSecond <= 0)) {
+    const bool knownOtherwise = known != nullptr && !known->onlyStored;
+    if (knownOtherwise || (known == nullptr && perSecond <= 0)) {
         return LimitChange::None;
     }
     return put(upstream, { perSecond, perSecond <= 0, now, SteadyTime{}, true, "platform" });
--- a/src/portpaddle/upstream_limits/limit_table.h
+++ b/src/portpaddle/upstream_limits/limit_table.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Which upstreams have named a limit, as far as a daemon knows from answers, from other daemons and from the platform.
+/// The limits that upstreams have named, as known from answers, from other daemons and from the platform.
 #pragma once
 
 #include "portpaddle/interfaces/clock.h"
@@ -12,41 +12,42 @@
 
 namespace Portpaddle {
 
-/// Limits as the platform has them, by the hash of the upstream's life; zero where one has ended.
+/// The rates of the platform's records, by the hash of the upstream's incarnation; 0 if the limit has ended.
 using StoredLimits = std::unordered_map<std::uint64_t, double>;
 
-/// What is known of one upstream that has named a limit.
+/// The state of the limit of one upstream.
 struct KnownLimit
 {
-    /// Requests a second from all daemons together; where it has ended what was named last.
+    /// Requests a second from all daemons together; the last named rate if the limit has ended.
     double perSecond = 0;
     bool ended = false;
-    /// When this daemon learned of this state.
+    /// Time at which this daemon learned of this state.
     SteadyTime since{};
-    /// When the newest answer that says so reached a daemon; means nothing where only the platform says it.
-    SteadyTime saidAt{};
-    /// Nobody has told it yet but the platform's record, whose age is unknown.
+    /// Time at which the newest answer with this state reached any daemon; without meaning if only the platform's record is
+    /// known.
+    SteadyTime answeredAt{};
+    /// Whether the limit is known only from the platform's record, whose age is unknown.
     bool onlyStored = false;
-    /// "answer", "platform", or the daemon that told.
+    /// "answer", "platform", or the id of the daemon that reported the limit.
     std::string source;
 };
 
-/// What a piece of news did.
+/// How an update changed the limit of an upstream.
 enum class LimitChange { None, Named, Changed, Ended };
 
-/// Belongs to one event loop. Times of other daemons are in this daemon's clock.
+/// Keeps the limit of each upstream. Times from other daemons are converted to this daemon's clock. Belongs to one event loop.
 class LimitTable
 {
 public:
-    /// An answer that arrived now names @p perSecond.
+    /// Records an answer that arrived now and names @p perSecond.
     LimitChange named(std::uint64_t upstream, double perSecond, SteadyTime now);
-    /// An answer without a limit arrived now, to a request that was sent at @p sentAt.
+    /// Records an answer without a limit that arrived now, to a request that was sent at @p sentAt.
     LimitChange answeredWithout(std::uint64_t upstream, SteadyTime sentAt, SteadyTime now);
-    /// Another daemon tells what it knows.
-    LimitChange told(std::uint64_t upstream, const KnownLimit &limit, SteadyTime now);
-    /// The platform has @p perSecond; counts only while nothing newer is known.
+    /// Records a limit that another daemon reported.
+    LimitChange reported(std::uint64_t upstream, const KnownLimit &limit, SteadyTime now);
+    /// Records the rate of the platform's record; ignored if the limit is known from another source.
     LimitChange stored(std::uint64_t upstream, double perSecond, SteadyTime now);
-    /// Null where the upstream never named a limit.
+    /// Returns the limit of the upstream; null if it never named one.
     const KnownLimit *find(std::uint64_t upstream) const;
     const std::unordered_map<std::uint64_t, KnownLimit> &all() const;
     void forget(std::uint64_t upstream);
@@ -57,7 +58,7 @@
     std::unordered_map<std::uint64_t, KnownLimit> limits_;
 };
 
-/// Whether both say the same, up to the precision with which daemons tell it.
-bool sameTerms(const KnownLimit &one, const KnownLimit &other);
+/// Returns whether both are the same limit, up to the precision of rates in digests.
+bool isSameLimit(const KnownLimit &one, const KnownLimit &other);
 
 } // namespace Portpaddle
--- a/src/portpaddle/upstream_limits/upstream_limits.cpp
+++ b/src/portpaddle/upstream_limits/upstream_limits.cpp
@@ -18,28 +18,28 @@
 
 namespace {
 
-// Requests a second: smaller shares are seldom used up by the callers of one daemon, and each holder adds its one request at once
-// to a window.
-constexpr double leastShare = 1;
-// After its need an upstream is asked twice as often each second, until this time has passed. It looks idle, and all daemons at
-// once would bring it back to where it was.
-constexpr std::chrono::seconds recovery{ 5 };
-// Between two records of one upstream; changes gather for half a second before other daemons see them.
-constexpr std::chrono::seconds betweenWrites{ 3 };
-// Daemons write a record one after the other, until one of them has.
+// In requests a second. The callers of one daemon seldom use up a smaller share, and each holder of a share can add one request
+// at once to a window.
+constexpr double minShare = 1;
+// After the end of a limit the rate doubles each second until this time has passed: the upstream looks idle, and requests from
+// all daemons at once would overload it again.
+constexpr std::chrono::seconds recoveryTime{ 5 };
+// Time between two writes of an upstream's record. The platform collects changes for half a second before other daemons get them.
+constexpr std::chrono::seconds writeInterval{ 3 };
+// The daemons try to write a record one after the other, until one of them has written it.
 constexpr std::chrono::milliseconds writeStagger{ 1'500 };
-// Of the rate: a record that differs less is as good, as starting daemons hear the newest rate soon.
+// Relative to the rate. A record that differs by less is not written again, since starting daemons soon receive the newest rate.
 constexpr double storedPrecision = 0.1;
-constexpr std::chrono::seconds betweenUnreadableLines{ 10 };
-// An older word is told as one of this age.
-constexpr std::int64_t longestAgeMs = 3'600'000;
+constexpr std::chrono::seconds unreadableLogInterval{ 10 };
+// Upper bound of the age of a limit in digests.
+constexpr std::int64_t maxAgeMs = 3'600'000;
 
 std::int64_t millisOf(SteadyTime::duration time)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
 }
 
-/// Requests a second that may be sent to an upstream with @p limit.
+/// Returns the requests a second that may be sent to an upstream with @p limit.
 double rateAt(const KnownLimit &limit, SteadyTime now)
 {
     return limit.ended ? limit.perSecond * std::exp2(inSeconds(now - limit.since)) : limit.perSecond;
@@ -47,7 +47,7 @@
 
 Wire::UpstreamLimit toWire(std::uint64_t key, const KnownLimit &limit, SteadyTime now)
 {
-    const std::int64_t age = std::clamp<std::int64_t>(millisOf(now - limit.saidAt), 0, longestAgeMs);
+    const std::int64_t age = std::clamp<std::int64_t>(millisOf(now - limit.answeredAt), 0, maxAgeMs);
     return { key, static_cast<float>(limit.perSecond), static_cast<std::uint32_t>(age), limit.ended };
 }
 
@@ -55,7 +55,7 @@
 
 unsigned holdersOf(double perSecond, std::size_t members)
 {
-    const double shares = std::floor(perSecond / leastShare);
+    const double shares = std::floor(perSecond / minShare);
     return static_cast<unsigned>(std::clamp(shares, 1.0, std::max(1.0, static_cast<double>(members))));
 }
 
@@ -72,64 +72,65 @@
 void UpstreamLimits::setView(std::shared_ptr<const FleetView> view, SteadyTime now)
 {
     view_ = std::move(view);
-    names_.clear();
+    upstreamIds_.clear();
     for (const auto &[id, upstream] : view_->upstreams) {
         if (upstream.region == scope_.region) {
-            names_.emplace(stableHash(id), id);
+            upstreamIds_.emplace(stableHash(id), id);
         }
     }
-    links_.clear();
+    linkAddresses_.clear();
     for (const DaemonRecord &daemon : view_->daemons) {
         if (daemon.region == scope_.region && daemon.id != scope_.daemon) {
-            links_.push_back(daemon.linkAddress);
+            linkAddresses_.push_back(daemon.linkAddress);
         }
     }
-    forgetGone();
+    forgetRemoved();
     for (const auto &[key, perSecond] : view_->upstreamLimits) {
-        if (names_.contains(key)) {
-            note(key, book_.stored(key, perSecond, now), now);
+        if (upstreamIds_.contains(key)) {
+            applyChange(key, table_.stored(key, perSecond, now), now);
         }
     }
 }
 
-/// A later life of an upstream has named nothing, and what only a record said goes with the record.
-void UpstreamLimits::forgetGone()
+/// Drops the limits of upstreams that are no longer listed, since a later incarnation has not named any, and limits that were
+/// known only from a record that has expired.
+void UpstreamLimits::forgetRemoved()
 {
-    std::vector<std::uint64_t> gone;
-    for (const auto &[key, limit] : book_.all()) {
+    std::vector<std::uint64_t> removed;
+    for (const auto &[key, limit] : table_.all()) {
         const bool lapsed = limit.onlyStored && !view_->upstreamLimits.contains(key);
-        if (!names_.contains(key) || lapsed) {
-            gone.push_back(key);
+        if (!upstreamIds_.contains(key) || lapsed) {
+            removed.push_back(key);
         }
     }
-    for (const std::uint64_t key : gone) {
-        book_.forget(key);
-        teller_.forget(key);
+    for (const std::uint64_t key : removed) {
+        table_.forget(key);
+        announcer_.forget(key);
         paces_.erase(key);
         writtenAt_.erase(key);
     }
-    std::erase_if(unreadableAt_, [this](const auto &item) { return !names_.contains(item.first); });
+    std::erase_if(unreadableAt_, [this](const auto &item) { return !upstreamIds_.contains(item.first); });
 }
 
-void UpstreamLimits::answered(const std::string &upstream, const LimitReading &reading, bool own, SteadyTime sentAt,
+void UpstreamLimits::answered(const std::string &upstream, const LimitReading &reading, bool fromUpstream, SteadyTime sentAt,
                               SteadyTime now)
 {
     const std::uint64_t key = stableHash(upstream);
-    if (!names_.contains(key)) {
+    if (!upstreamIds_.contains(key)) {
         return;
     }
     LimitChange change = LimitChange::None;
-    switch (reading.word) {
+    switch (reading.kind) {
     case LimitKind::Named:
-        change = book_.named(key, reading.perSecond, now);
+        change = table_.named(key, reading.perSecond, now);
         break;
     case LimitKind::Absent:
-        change = own ? book_.answeredWithout(key, sentAt, now) : LimitChange::None;
+        change = fromUpstream ? table_.answeredWithout(key, sentAt, now) : LimitChange::None;
         break;
     case LimitKind::Unreadable: {
         metrics_.count(Counter::LimitsUnreadable);
         const auto [last, first] = unreadableAt_.try_emplace(key, now);
-        if (first || now - last->second >= betweenUnreadableLines) {
+        if (first || now - last->second >= unreadableLogInterval) {
             last->second = now;
             logEvent(LogEvent::UpstreamLimitUnreadable, { { "upstream", upstream } });
         }
@@ -137,43 +138,43 @@
     }
     }
     if (change != LimitChange::None) {
-        teller_.changed(key, now);
+        announcer_.changed(key, now);
     }
-    note(key, change, now);
+    applyChange(key, change, now);
 }
 
-void UpstreamLimits::note(std::uint64_t key, LimitChange change, SteadyTime now)
+void UpstreamLimits::applyChange(std::uint64_t key, LimitChange change, SteadyTime now)
 {
     if (change == LimitChange::None) {
         return;
     }
-    const KnownLimit &limit = *book_.find(key);
+    const KnownLimit &limit = *table_.find(key);
     const bool ended = change == LimitChange::Ended;
     metrics_.count(ended ? Counter::LimitsEnded : Counter::LimitsNamed);
     const double share = paceAt(key, limit, now).perSecond();
     logEvent(ended ? LogEvent::UpstreamLimitEnded : LogEvent::UpstreamLimitNamed,
-             { { "upstream", names_.at(key) },
+             { { "upstream", upstreamIds_.at(key) },
                { "per_second", fmt::format("{:.3f}", limit.perSecond) },
                { "own_share", fmt::format("{:.3f}", share) },
                { "heard_from", limit.source },
-               { "said_ms_ago", limit.onlyStored ? std::string() : std::to_string(millisOf(now - limit.saidAt)) } });
+               { "said_ms_ago", limit.onlyStored ? std::string() : std::to_string(millisOf(now - limit.answeredAt)) } });
 }
 
 std::optional<UpstreamLimits::Limited> UpstreamLimits::inForce(const std::string &upstream, SteadyTime now) const
 {
-    // Almost always no upstream has a limit, and each choice asks for many of them.
-    if (book_.all().empty()) {
+    // Each routing decision calls this for many upstreams, and usually none of them has a limit.
+    if (table_.all().empty()) {
         return std::nullopt;
     }
     const std::uint64_t key = stableHash(upstream);
-    const KnownLimit *limit = book_.find(key);
-    const bool over = limit == nullptr || (limit->ended && now - limit->since >= recovery);
-    return over ? std::nullopt : std::optional<Limited>({ key, *limit });
+    const KnownLimit *limit = table_.find(key);
+    const bool isOver = limit == nullptr || (limit->ended && now - limit->since >= recoveryTime);
+    return isOver ? std::nullopt : std::optional<Limited>({ key, *limit });
 }
 
-// A rate of the whole region is held by so many of its daemons that each can use its share: equal parts of all daemons would
-// bring as many requests at once as there are daemons, however small the rate. Who holds a share follows from the list alone; a
-// daemon that starts holds none until the others have seen it on their lists.
+// The rate of the whole region is divided among so few of its daemons that each can use its share: with equal parts for all
+// daemons as many requests as there are daemons could arrive at once, however small the rate is. Which daemons hold a share
+// follows from the list of daemons alone; a starting daemon holds none until the others have it on their lists.
 LimitPace &UpstreamLimits::paceAt(std::uint64_t key, const KnownLimit &limit, SteadyTime now)
 {
     const double rate = rateAt(limit, now);
@@ -206,19 +207,19 @@
                                                                   std::size_t ahead, SteadyTime now)
 {
     double perSecond = 0;
-    SteadyTime::duration soonest = SteadyTime::duration::max();
+    SteadyTime::duration shortestWait = SteadyTime::duration::max();
     for (const std::string *upstream : upstreams) {
         if (const std::optional<Limited> limited = inForce(*upstream, now)) {
             const LimitPace &pace = paceAt(limited->key, limited->limit, now);
             perSecond += pace.perSecond();
-            soonest = std::min(soonest, pace.wait());
+            shortestWait = std::min(shortestWait, pace.wait());
         }
     }
     if (perSecond <= 0) {
         return std::nullopt;
     }
-    const std::chrono::duration<double> others(static_cast<double>(ahead) / perSecond);
-    return soonest + std::chrono::duration_cast<SteadyTime::duration>(others);
+    const std::chrono::duration<double> waitForOthers(static_cast<double>(ahead) / perSecond);
+    return shortestWait + std::chrono::duration_cast<SteadyTime::duration>(waitForOthers);
 }
 
 std::optional<SteadyTime::duration> UpstreamLimits::interval(std::span<const std::string *const> upstreams, SteadyTime now) const
@@ -236,27 +237,27 @@
 
 void UpstreamLimits::takeNews(const Wire::LoadDigestT &digest, SteadyTime now)
 {
-    // Upstreams take connections from their own region alone: whatever another region says of them is not its own knowledge.
+    // Upstreams accept connections only from their own region, so another region has no knowledge of its own about them.
     if (digest.region != scope_.region) {
         return;
     }
-    for (const Wire::UpstreamLimit &told : digest.upstream_limits) {
-        const std::uint64_t key = told.upstream();
+    for (const Wire::UpstreamLimit &announced : digest.upstream_limits) {
+        const std::uint64_t key = announced.upstream();
         KnownLimit limit;
-        limit.perSecond = boundedRate(told.per_second());
-        if (!names_.contains(key) || std::isnan(limit.perSecond)) {
+        limit.perSecond = boundedRate(announced.per_second());
+        if (!upstreamIds_.contains(key) || std::isnan(limit.perSecond)) {
             continue;
         }
-        limit.ended = told.ended();
-        limit.saidAt = now - std::chrono::milliseconds(told.age_ms());
+        limit.ended = announced.ended();
+        limit.answeredAt = now - std::chrono::milliseconds(announced.age_ms());
         limit.source = digest.daemon;
-        note(key, book_.told(key, limit, now), now);
-        const KnownLimit *known = book_.find(key);
-        if (known != nullptr && sameTerms(*known, limit)) {
-            teller_.heardSame(key, now);
+        applyChange(key, table_.reported(key, limit, now), now);
+        const KnownLimit *known = table_.find(key);
+        if (known != nullptr && isSameLimit(*known, limit)) {
+            announcer_.receivedSame(key, now);
         } else if (known != nullptr) {
-            // The sender has missed what this daemon knows.
-            teller_.changed(key, now);
+            // The sender has missed the newer state that this daemon knows.
+            announcer_.changed(key, now);
         }
     }
 }
@@ -267,19 +268,20 @@
     Wire::LoadDigestT digest = header;
     digest.kind = Wire::DigestKind::UpstreamLimits;
     const auto send = [&] {
-        if (!digest.upstream_limits.empty() && !links_.empty()) {
-            out.push_back({ links_, digest });
+        if (!digest.upstream_limits.empty() && !linkAddresses_.empty()) {
+            out.push_back({ linkAddresses_, digest });
         }
         digest.upstream_limits.clear();
     };
-    for (const auto &[key, limit] : book_.all()) {
+    for (const auto &[key, limit] : table_.all()) {
         if (limit.onlyStored) {
-            // All others have the record as well.
+            // All other daemons get the platform's record as well.
             continue;
         }
-        // What has ended is told when it ends, and to those that did not hear it.
-        const bool tells = limit.ended ? teller_.dueOnce(key) : teller_.due(key, { owners_.rank(key), owners_.members() }, now);
-        if (!tells) {
+        // The end of a limit is announced when it ends and to daemons that missed it, but not repeated.
+        const bool announces
+            = limit.ended ? announcer_.dueOnce(key) : announcer_.due(key, { owners_.rank(key), owners_.members() }, now);
+        if (!announces) {
             continue;
         }
         digest.upstream_limits.push_back(toWire(key, limit, now));
@@ -293,7 +295,7 @@
 
 void UpstreamLimits::tick(SteadyTime now)
 {
-    if (!book_.all().empty()) {
+    if (!table_.all().empty()) {
         writeDue(now);
     }
 }
@@ -301,22 +303,23 @@
 bool UpstreamLimits::isStored(std::uint64_t key, const KnownLimit &limit) const
 {
     const auto stored = view_->upstreamLimits.find(key);
-    const double has = stored == view_->upstreamLimits.end() ? 0 : stored->second;
-    const double wanted = limit.ended ? 0 : limit.perSecond;
-    return std::abs(has - wanted) <= storedPrecision * std::max(has, wanted);
+    const double storedRate = stored == view_->upstreamLimits.end() ? 0 : stored->second;
+    const double expected = limit.ended ? 0 : limit.perSecond;
+    return std::abs(storedRate - expected) <= storedPrecision * std::max(storedRate, expected);
 }
 
-/// Daemons that start all at once can learn of limits from the platform only.
+/// Writes the limits to the platform that it does not have yet: daemons that all start at the same time can learn them only
+/// there.
 void UpstreamLimits::writeDue(SteadyTime now)
 {
     if (!write_ || !view_) {
         return;
     }
-    for (const auto &[key, limit] : book_.all()) {
+    for (const auto &[key, limit] : table_.all()) {
         SteadyTime &writtenAt = writtenAt_[key];
         const auto stagger = writeStagger * static_cast<int>(owners_.rank(key));
-        const bool waits = now < limit.since + stagger || now < writtenAt + betweenWrites + stagger;
-        if (limit.onlyStored || isStored(key, limit) || waits) {
+        const bool mustWait = now < limit.since + stagger || now < writtenAt + writeInterval + stagger;
+        if (limit.onlyStored || isStored(key, limit) || mustWait) {
             continue;
         }
         writtenAt = now;
--- a/src/portpaddle/upstream_limits/upstream_limits.h
+++ b/src/portpaddle/upstream_limits/upstream_limits.h
@@ -1,17 +1,17 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Keeps all daemons of a region together to the requests a second that upstreams in need say they take.
+/// Limits the requests of all daemons of a region together to the rates that overloaded upstreams have named.
 #pragma once
 
 #include "portpaddle/fleet/load_aggregation.h"
 #include "portpaddle/fleet/stable_owner.h"
 #include "portpaddle/gateway/fleet_view.h"
+#include "portpaddle/upstream_limits/limit_announcer.h"
 #include "portpaddle/upstream_limits/limit_pace.h"
 #include "portpaddle/upstream_limits/limit_reading.h"
 #include "portpaddle/upstream_limits/limit_record.h"
 #include "portpaddle/upstream_limits/limit_table.h"
-#include "portpaddle/upstream_limits/limit_teller.h"
 
 #include <functional>
 #include <memory>
@@ -25,45 +25,48 @@
 
 class Metrics;
 
-/// Whom the limits are kept for.
+/// The daemon that keeps to the limits, and its region.
 struct LimitScope
 {
     std::string daemon;
     std::string region;
 };
 
-/// Belongs to one event loop.
+/// Divides the limits of upstreams among the daemons of the region. Belongs to one event loop.
 class UpstreamLimits
 {
 public:
-    /// Has the limit of an upstream written to the platform; must not wait.
+    /// Writes the limit of an upstream to the platform; must not block.
     using WriteRecord = std::function<void(const StoredLimit &limit)>;
 
-    /// @p owners ranks the daemons of the region; it must outlive this.
+    /// @p owners ranks the daemons of the region; it must outlive this object.
     UpstreamLimits(LimitScope scope, StableOwner &owners, Metrics &metrics);
 
-    /// Without it limits are told to other daemons only.
+    /// Sets the function that writes limits; without one they are announced to other daemons only.
     void setWriteRecord(WriteRecord write);
-    /// Limits go with the lives of their upstreams; those that the platform has are taken over.
+    /// Drops the limits of upstreams that are not in @p view, and adds those that the platform has.
     void setView(std::shared_ptr<const FleetView> view, SteadyTime now);
-    /// An answer of @p upstream came; @p own: it proves that the upstream itself gave it after it ran the request, so that the
-    /// absence of a limit means that there is none.
-    void answered(const std::string &upstream, const LimitReading &reading, bool own, SteadyTime sentAt, SteadyTime now);
-    /// Whether @p upstream has a limit that is in force or was until a moment ago.
+    /// Records an answer of @p upstream. @p fromUpstream says whether the answer proves that the upstream itself gave it after it
+    /// ran the request, so that a missing limit means that there is none.
+    void answered(const std::string &upstream, const LimitReading &reading, bool fromUpstream, SteadyTime sentAt, SteadyTime now);
+    /// Returns whether @p upstream has a limit that is in force or ended within the recovery time.
     bool isLimited(const std::string &upstream, SteadyTime now) const;
-    /// Whether this daemon may send one more request to @p upstream now.
+    /// Returns whether this daemon may send one more request to @p upstream now.
     bool allows(const std::string &upstream, SteadyTime now);
-    /// One request goes to @p upstream.
+    /// Counts one request that is sent to @p upstream.
     void take(const std::string &upstream, SteadyTime now);
-    /// When this daemon may send to one of @p upstreams with @p ahead requests before it; none where it holds no share of any.
+    /// Returns the time until this daemon may send a request to one of @p upstreams with @p ahead requests before it; no value if
+    /// it holds no share of any of their limits.
     std::optional<SteadyTime::duration> nextSendDelay(std::span<const std::string *const> upstreams, std::size_t ahead,
                                                       SteadyTime now);
-    /// How long it takes on average until one of @p upstreams takes a request of any daemon.
+    /// Returns the mean time between two requests that all daemons together may send to @p upstreams; no value if none of them
+    /// has a limit.
     std::optional<SteadyTime::duration> interval(std::span<const std::string *const> upstreams, SteadyTime now) const;
+    /// Applies the limits that another daemon announced.
     void takeNews(const Wire::LoadDigestT &digest, SteadyTime now);
-    /// What to tell other daemons; call once in each interval. @p header has the sender.
+    /// Returns the digests to send to other daemons. Call once in each digest interval; @p header holds the sender.
     std::vector<OutgoingDigest> dueDigests(const Wire::LoadDigestT &header, SteadyTime now);
-    /// Call a few times a second.
+    /// Writes due records. Call a few times a second.
     void tick(SteadyTime now);
 
 private:
@@ -75,10 +78,10 @@
     };
 
     std::optional<Limited> inForce(const std::string &upstream, SteadyTime now) const;
-    /// The pace of this daemon at the upstream, brought up to date.
+    /// Returns the pace of this daemon at the upstream, updated to @p now.
     LimitPace &paceAt(std::uint64_t key, const KnownLimit &limit, SteadyTime now);
-    void note(std::uint64_t key, LimitChange change, SteadyTime now);
-    void forgetGone();
+    void applyChange(std::uint64_t key, LimitChange change, SteadyTime now);
+    void forgetRemoved();
     void writeDue(SteadyTime now);
     bool isStored(std::uint64_t key, const KnownLimit &limit) const;
 
@@ -87,20 +90,20 @@
     Metrics &metrics_;
     WriteRecord write_;
     std::shared_ptr<const FleetView> view_;
-    /// Upstreams of the own region in the view, by the hash of their life.
-    std::unordered_map<std::uint64_t, std::string> names_;
-    /// Where the other daemons of the region are reached.
-    std::vector<std::string> links_;
-    LimitTable book_;
-    LimitTeller teller_;
+    /// Ids of the upstreams of this region in the view, by the hash of their incarnation.
+    std::unordered_map<std::uint64_t, std::string> upstreamIds_;
+    /// Link addresses of the other daemons of the region.
+    std::vector<std::string> linkAddresses_;
+    LimitTable table_;
+    LimitAnnouncer announcer_;
     std::unordered_map<std::uint64_t, LimitPace> paces_;
-    /// When a record was last written.
+    /// Time at which the record of an upstream was last written.
     std::unordered_map<std::uint64_t, SteadyTime> writtenAt_;
-    /// When an upstream's unreadable limit was last logged.
+    /// Time at which an unreadable limit of an upstream was last logged.
     std::unordered_map<std::uint64_t, SteadyTime> unreadableAt_;
 };
 
-/// Among how many daemons a limit is divided where there are @p members.
+/// Returns among how many of @p members daemons a limit is divided.
 unsigned holdersOf(double perSecond, std::size_t members);
 
 } // namespace Portpaddle
--- a/tests/gateway/limit_table_tests.cpp
+++ b/tests/gateway/limit_table_tests.cpp
@@ -1,11 +1,11 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
+#include "portpaddle/upstream_limits/limit_announcer.h"
 #include "portpaddle/upstream_limits/limit_pace.h"
 #include "portpaddle/upstream_limits/limit_reading.h"
 #include "portpaddle/upstream_limits/limit_record.h"
 #include "portpaddle/upstream_limits/limit_table.h"
-#include "portpaddle/upstream_limits/limit_teller.h"
 #include "portpaddle/upstream_limits/upstream_limits.h"
 
 #include <doctest/doctest.h>
@@ -30,9 +30,9 @@
         book.named(upstream, 2, start);
     }
 
-    KnownLimit told(double perSecond, bool ended, SteadyTime saidAt) const
+    KnownLimit told(double perSecond, bool ended, SteadyTime answeredAt) const
     {
-        return { perSecond, ended, {}, saidAt, false, "other" };
+        return { perSecond, ended, {}, answeredAt, false, "other" };
     }
 
     LimitTable book;
@@ -51,11 +51,11 @@
 
 TEST_CASE("Limit reading, decimal numbers, are rates")
 {
-    CHECK(read({}).word == LimitKind::Absent);
+    CHECK(read({}).kind == LimitKind::Absent);
     CHECK(read({ "2.5" }).perSecond == 2.5);
     CHECK(read({ "40" }).perSecond == 40);
     // One that takes nothing must be able to say that it takes something again.
-    CHECK(read({ "0" }).perSecond == leastNamedRate);
+    CHECK(read({ "0" }).perSecond == minNamedRate);
     CHECK(read({ "1e300" }).perSecond == maxNamedRate);
 }
 
@@ -64,7 +64,7 @@
     for (const char *text : { "", "-1", "nan", "inf", "-inf", "many", "2 a second", "2,5", "0x10",
                               "1.00000000000000000000000000000000000001", "1e999" }) {
         CAPTURE(text);
-        CHECK(read({ text }).word == LimitKind::Unreadable);
+        CHECK(read({ text }).kind == LimitKind::Unreadable);
     }
 }
 
@@ -79,7 +79,7 @@
 {
     rc::check([](const std::string &text) {
         const LimitReading reading = read({ text.c_str() });
-        RC_ASSERT(reading.word != LimitKind::Named || (reading.perSecond >= leastNamedRate && reading.perSecond <= maxNamedRate));
+        RC_ASSERT(reading.kind != LimitKind::Named || (reading.perSecond >= minNamedRate && reading.perSecond <= maxNamedRate));
     });
 }
 
@@ -97,31 +97,31 @@
 
 TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, news that are older, stands")
 {
-    CHECK(book.told(upstream, told(9, false, start - 1s), start + 1s) == LimitChange::None);
-    CHECK(book.told(upstream, told(2, true, start - 1s), start + 1s) == LimitChange::None);
+    CHECK(book.reported(upstream, told(9, false, start - 1s), start + 1s) == LimitChange::None);
+    CHECK(book.reported(upstream, told(2, true, start - 1s), start + 1s) == LimitChange::None);
     CHECK(book.find(upstream)->perSecond == 2);
 }
 
 TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, news that are newer, are taken")
 {
-    CHECK(book.told(upstream, told(3, false, start + 1s), start + 2s) == LimitChange::Changed);
-    CHECK(book.told(upstream, told(3, true, start + 2s), start + 3s) == LimitChange::Ended);
-    CHECK(book.told(upstream, told(1, false, start + 3s), start + 4s) == LimitChange::Named);
+    CHECK(book.reported(upstream, told(3, false, start + 1s), start + 2s) == LimitChange::Changed);
+    CHECK(book.reported(upstream, told(3, true, start + 2s), start + 3s) == LimitChange::Ended);
+    CHECK(book.reported(upstream, told(1, false, start + 3s), start + 4s) == LimitChange::Named);
 }
 
 TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, the same told back with the time of travel, grows no younger")
 {
     for (int times = 1; times <= 20; ++times) {
-        book.told(upstream, told(2, false, book.find(upstream)->saidAt + 20ms), start + times * 100ms);
+        book.reported(upstream, told(2, false, book.find(upstream)->answeredAt + 20ms), start + times * 100ms);
     }
-    CHECK(book.find(upstream)->saidAt == start);
+    CHECK(book.find(upstream)->answeredAt == start);
 }
 
 TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, record of the platform, counts only where nothing newer is known")
 {
     CHECK(book.stored(upstream, 9, start + 1s) == LimitChange::None);
     CHECK(book.stored(upstream + 1, 9, start + 1s) == LimitChange::Named);
-    CHECK(book.told(upstream + 1, told(4, false, start - 10min), start + 2s) == LimitChange::Changed);
+    CHECK(book.reported(upstream + 1, told(4, false, start - 10min), start + 2s) == LimitChange::Changed);
     CHECK(book.find(upstream + 1)->perSecond == 4);
     CHECK(book.stored(upstream + 2, 0, start) == LimitChange::None);
     CHECK(book.find(upstream + 2) == nullptr);
@@ -132,7 +132,7 @@
 {
     LimitTable book;
     CHECK(book.stored(upstream, 9, SteadyTime{ 2s }) == LimitChange::Named);
-    CHECK(book.told(upstream, { 4, false, {}, SteadyTime{ 3s } - 10min, false, "other" }, SteadyTime{ 3s })
+    CHECK(book.reported(upstream, { 4, false, {}, SteadyTime{ 3s } - 10min, false, "other" }, SteadyTime{ 3s })
           == LimitChange::Changed);
     CHECK(book.find(upstream)->perSecond == 4);
 }
@@ -147,7 +147,7 @@
 TEST_CASE("Ended limit, told of an upstream that never named one, is nothing new")
 {
     LimitTable book;
-    CHECK(book.told(upstream, { 2, true, {}, start, false, "other" }, start) == LimitChange::None);
+    CHECK(book.reported(upstream, { 2, true, {}, start, false, "other" }, start) == LimitChange::None);
     CHECK(book.find(upstream) == nullptr);
 }
 
@@ -173,25 +173,25 @@
     CHECK_FALSE(pace.ready());
 }
 
-TEST_CASE("Limit teller, daemons that fall silent, is followed by the next in rank")
+TEST_CASE("Limit announcer, daemons that fall silent, is followed by the next in rank")
 {
-    LimitTeller first;
-    LimitTeller second;
+    LimitAnnouncer first;
+    LimitAnnouncer second;
     first.changed(upstream, start);
-    second.heardSame(upstream, start);
+    second.receivedSame(upstream, start);
     CHECK(first.due(upstream, { 0, 3 }, start));
     CHECK_FALSE(second.due(upstream, { 1, 3 }, start + 400ms));
     CHECK(second.due(upstream, { 1, 3 }, start + 600ms));
 }
 
-TEST_CASE("Limit teller, any size of the region, sends no more than fifty datagrams a second")
+TEST_CASE("Limit announcer, any size of the region, sends no more than fifty datagrams a second")
 {
     for (const std::size_t members : { 3U, 61U, 300U }) {
         CAPTURE(members);
-        LimitTeller teller;
+        LimitAnnouncer announcer;
         std::size_t datagrams = 0;
         for (auto time = 0ms; time < 60s; time += 100ms) {
-            datagrams += teller.due(upstream, { 0, members }, start + time) ? members - 1 : 0;
+            datagrams += announcer.due(upstream, { 0, members }, start + time) ? members - 1 : 0;
         }
         CHECK(datagrams <= 50 * 60 + members);
     }
