--- a/src/portpaddle/upstream_notices/answer_notice.cpp
+++ b/src/portpaddle/upstream_notices/answer_notice.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-constexpr std::string_view leaves = "1";
+constexpr std::string_view leavingValue = "1";
 
 LeavingNotice readLeaving(const boost::beast::http::fields &head, const std::string &name)
 {
-    LeavingNotice word = LeavingNotice::Absent;
+    LeavingNotice result = LeavingNotice::Absent;
     const auto [first, last] = head.equal_range(name);
     for (auto field = first; field != last; ++field) {
-        if (viewOf(field->value()) == leaves) {
+        if (viewOf(field->value()) == leavingValue) {
             return LeavingNotice::Leaving;
         }
-        word = LeavingNotice::Unreadable;
+        result = LeavingNotice::Unreadable;
     }
-    return word;
+    return result;
 }
 
 } // namespace
--- a/src/portpaddle/upstream_notices/answer_notice.h
+++ b/src/portpaddle/upstream_notices/answer_notice.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What the head of an answer says about the upstream that gave it, read in one place from every answer.
+/// Reads from the head of an answer what it says about the upstream that gave it.
 #pragma once
 
 #include "portpaddle/gateway/header_names.h"
@@ -15,26 +15,27 @@
 
 namespace Portpaddle {
 
-/// Whether an upstream says that it leaves.
+/// Whether an upstream announces that it leaves.
 enum class LeavingNotice { Absent, Leaving, Unreadable };
 
+/// What an answer says about its upstream.
 struct AnswerNotice
 {
-    /// The name of the life that answers; empty where the head does not tell.
+    /// Id of the incarnation that answered; empty if the head does not name it.
     std::string incarnation;
-    /// It proves that the upstream itself gave the answer after it ran the request.
+    /// Whether the head proves that the upstream itself gave the answer after it ran the request.
     bool fromUpstream = false;
     LimitReading limit;
     LeavingNotice leaving = LeavingNotice::Absent;
-    /// For how long the upstream wants nothing from this daemon.
+    /// How long the upstream asks this daemon not to send requests.
     RetryAfter backoff;
 };
 
-/// Any answer with the proof that its upstream did not run the request, as its head says.
+/// Returns whether the head of an answer proves that the upstream did not run the request.
 bool provesNotRun(const boost::beast::http::response_header<> &head, const HeaderNames &names);
-/// Whether the head has the signature of an upstream; true where @p names know none.
+/// Returns whether the head has the signature header of an upstream; true if @p names has no such header.
 bool isSigned(const boost::beast::http::fields &head, const HeaderNames &names);
-/// @p wall: when the head arrived.
+/// Reads the notice in @p head, which arrived at @p wall.
 AnswerNotice readNotice(const boost::beast::http::response_header<> &head, const HeaderNames &names,
                         std::chrono::system_clock::time_point wall);
 
--- a/src/portpaddle/upstream_notices/retry_after.cpp
+++ b/src/portpaddle/upstream_notices/retry_after.cpp
@@ -18,10 +18,10 @@
 
 using Millis = std::chrono::milliseconds;
 
-// Longer texts are neither a number nor a date.
-constexpr std::size_t longestText = 64;
-// The three forms of dates that HTTP allows.
-constexpr const char *dateForms[] = { "%a, %d %b %Y %H:%M:%S GMT", "%A, %d-%b-%y %H:%M:%S GMT", "%a %b %e %H:%M:%S %Y" };
+// Longer texts are not accepted as a number or a date.
+constexpr std::size_t maxTextLength = 64;
+// The three date formats that HTTP allows.
+constexpr const char *dateFormats[] = { "%a, %d %b %Y %H:%M:%S GMT", "%A, %d-%b-%y %H:%M:%S GMT", "%a %b %e %H:%M:%S %Y" };
 
 std::optional<Millis> parseSeconds(std::string_view text)
 {
@@ -32,17 +32,17 @@
     if (parsed.ptr != end || (parsed.ec != std::errc{} && !tooLong) || !std::isfinite(seconds) || seconds < 0) {
         return std::nullopt;
     }
-    const double most = std::chrono::duration<double>(longestRetryAfter).count();
-    const double bounded = tooLong ? most : std::min(seconds, most);
+    const double maxSeconds = std::chrono::duration<double>(longestRetryAfter).count();
+    const double bounded = tooLong ? maxSeconds : std::min(seconds, maxSeconds);
     return std::chrono::ceil<Millis>(std::chrono::duration<double>(bounded));
 }
 
 std::optional<Millis> parseDate(std::string_view text, std::chrono::system_clock::time_point wall)
 {
     const std::string date(text);
-    for (const char *form : dateForms) {
+    for (const char *format : dateFormats) {
         std::tm fields{};
-        const char *rest = strptime(date.c_str(), form, &fields);
+        const char *rest = strptime(date.c_str(), format, &fields);
         if (rest != nullptr && *rest == '\0') {
             const auto until = std::chrono::system_clock::from_time_t(timegm(&fields));
             return std::clamp(std::chrono::ceil<Millis>(until - wall), Millis(0), longestRetryAfter);
@@ -60,7 +60,7 @@
     for (auto field = first; field != last; ++field) {
         const std::string_view text = viewOf(field->value());
         std::optional<Millis> time;
-        if (!text.empty() && text.size() <= longestText) {
+        if (!text.empty() && text.size() <= maxTextLength) {
             time = parseSeconds(text);
             time = time ? time : parseDate(text, wall);
         }
--- a/src/portpaddle/upstream_notices/retry_after.h
+++ b/src/portpaddle/upstream_notices/retry_after.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The Retry-After field of HTTP answers.
+/// Reads the Retry-After header of HTTP answers.
 #pragma once
 
 #include <boost/beast/http/fields.hpp>
@@ -10,21 +10,22 @@
 
 namespace Portpaddle {
 
-/// A longer time is taken for this one.
+/// Upper bound for the time; a longer one is reduced to this.
 inline constexpr std::chrono::milliseconds longestRetryAfter = std::chrono::hours(24);
 
-/// What the head of an answer says.
+/// Whether the head of an answer names a time.
 enum class RetryAfterKind { Absent, Named, Unreadable };
 
+/// The time that the head of an answer names.
 struct RetryAfter
 {
     RetryAfterKind kind = RetryAfterKind::Absent;
-    /// From the arrival of the answer; set where a time is named.
+    /// Time from the arrival of the answer; set if a time is named.
     std::chrono::milliseconds time{ 0 };
 };
 
-/// Reads seconds, fractions included, or a date, which is compared with @p wall. Where the field stands several times the longest
-/// time counts; a time that has passed is zero.
+/// Reads seconds, which may have a fraction, or a date, which is compared with @p wall. If the header occurs several times, the
+/// longest time counts; a date in the past gives zero.
 RetryAfter readRetryAfter(const boost::beast::http::fields &head, std::chrono::system_clock::time_point wall);
 
 } // namespace Portpaddle
--- a/src/portpaddle/upstream_notices/upstream_notices.cpp
+++ b/src/portpaddle/upstream_notices/upstream_notices.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds betweenUnreadableLines{ 10 };
+constexpr std::chrono::seconds unreadableLogInterval{ 10 };
 
 } // namespace
 
@@ -28,7 +28,7 @@
         State &state = entry->second;
         const bool listed = view.upstreams.contains(entry->first);
         if (listed) {
-            state.knownAt = now;
+            state.lastKnownAt = now;
         } else if (state.stage == Stage::Serving && state.backoffUntil <= now) {
             entry = states_.erase(entry);
             continue;
@@ -46,7 +46,7 @@
     std::vector<std::pair<SteadyTime, const std::string *>> unlisted;
     for (const auto &[upstream, state] : states_) {
         if (!view.upstreams.contains(upstream)) {
-            unlisted.emplace_back(state.knownAt, &upstream);
+            unlisted.emplace_back(state.lastKnownAt, &upstream);
         }
     }
     const auto kept = unlisted.end() - static_cast<std::ptrdiff_t>(maxUnlistedIncarnations);
@@ -59,7 +59,7 @@
 UpstreamNotices::State &UpstreamNotices::stateOf(const std::string &upstream, SteadyTime now)
 {
     State &state = states_[upstream];
-    state.knownAt = now;
+    state.lastKnownAt = now;
     return state;
 }
 
@@ -105,7 +105,7 @@
 {
     metrics_.count(Counter::NoticesUnreadable);
     State &state = stateOf(upstream, now);
-    if (!state.unreadableAt || now - *state.unreadableAt >= betweenUnreadableLines) {
+    if (!state.unreadableAt || now - *state.unreadableAt >= unreadableLogInterval) {
         state.unreadableAt = now;
         logEvent(LogEvent::UpstreamNoticeUnreadable, { { "upstream", upstream }, { "notice", std::string(what) } });
     }
@@ -113,7 +113,7 @@
 
 void UpstreamNotices::incarnationEnded(const std::string &upstream, SteadyTime now)
 {
-    stateOf(upstream, now).stage = Stage::Over;
+    stateOf(upstream, now).stage = Stage::Ended;
 }
 
 void UpstreamNotices::sent(const std::string &upstream, SteadyTime now)
@@ -141,7 +141,7 @@
     if (found == states_.end()) {
         return ExclusionReason::None;
     }
-    if (found->second.stage == Stage::Over) {
+    if (found->second.stage == Stage::Ended) {
         return ExclusionReason::Leaving;
     }
     return found->second.backoffUntil > now ? ExclusionReason::BackingOff : ExclusionReason::None;
@@ -150,17 +150,17 @@
 std::optional<SteadyTime::duration> UpstreamNotices::earliestBackoffEnd(std::span<const std::string *const> upstreams,
                                                                         SteadyTime now) const
 {
-    std::optional<SteadyTime::duration> soonest;
+    std::optional<SteadyTime::duration> earliestEnd;
     for (const std::string *upstream : upstreams) {
         if (exclusionReason(*upstream, now) == ExclusionReason::BackingOff) {
-            const SteadyTime::duration left = states_.at(*upstream).backoffUntil - now;
-            soonest = soonest ? std::min(*soonest, left) : left;
+            const SteadyTime::duration remaining = states_.at(*upstream).backoffUntil - now;
+            earliestEnd = earliestEnd ? std::min(*earliestEnd, remaining) : remaining;
         }
     }
-    return soonest;
+    return earliestEnd;
 }
 
-std::size_t UpstreamNotices::remembered() const
+std::size_t UpstreamNotices::incarnationCount() const
 {
     return states_.size();
 }
--- a/src/portpaddle/upstream_notices/upstream_notices.h
+++ b/src/portpaddle/upstream_notices/upstream_notices.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What upstreams have told this daemon about themselves: that they leave, and for how long they want nothing from it.
+/// Keeps what upstreams have announced to this daemon: that they leave, and for how long they ask for no requests.
 #pragma once
 
 #include "portpaddle/gateway/fleet_view.h"
@@ -18,44 +18,45 @@
 
 class Metrics;
 
-/// Lives of upstreams that are on no list any more, and of which is remembered that they leave or have ended.
+/// Maximum number of incarnations that are no longer listed for which it is kept that they leave or have ended.
 inline constexpr std::size_t maxUnlistedIncarnations = 10'000;
 
-/// Belongs to one event loop.
+/// Keeps the notices of each incarnation of an upstream. Belongs to one event loop.
 class UpstreamNotices
 {
 public:
     explicit UpstreamNotices(Metrics &metrics);
 
-    /// Lives out of @p view are remembered as long as there is room: an entry may lapse and come back.
+    /// Drops the oldest of too many incarnations that are not in @p view. The others are kept, because the record of an upstream
+    /// may expire and return.
     void setView(const FleetView &view, SteadyTime now);
-    /// An answer of @p upstream came.
+    /// Records the notice in an answer of @p upstream.
     void answered(const std::string &upstream, const AnswerNotice &notice, SteadyTime now);
-    /// Another life answers at its address.
+    /// Records that another incarnation answers at the address of @p upstream.
     void incarnationEnded(const std::string &upstream, SteadyTime now);
-    /// A request leaves for @p upstream.
+    /// Counts a request that is sent to @p upstream in spite of a notice.
     void sent(const std::string &upstream, SteadyTime now);
-    /// Why no new request may be sent to @p upstream now; none where it may.
+    /// Returns why no new request may be sent to @p upstream now; None if it may.
     ExclusionReason exclusionReason(const std::string &upstream, SteadyTime now) const;
-    /// The same of a run whose memory is kept there: it may go on while the upstream leaves.
+    /// Like exclusionReason(), for a run whose memory the upstream keeps: such a run may go on there while the upstream leaves.
     ExclusionReason exclusionForMovedRun(const std::string &upstream, SteadyTime now) const;
-    /// When the first of @p upstreams that asked for time may be asked again; none where no time is what bars them.
+    /// Returns the time until the first backoff of @p upstreams ends; no value if none of them is excluded by a backoff.
     std::optional<SteadyTime::duration> earliestBackoffEnd(std::span<const std::string *const> upstreams, SteadyTime now) const;
-    /// Lives of which something is remembered.
-    std::size_t remembered() const;
+    /// Returns the number of incarnations with a notice.
+    std::size_t incarnationCount() const;
 
 private:
-    /// Each is final, and what comes later includes what came before.
-    enum class Stage { Serving, Leaving, Over };
+    /// The stages of an incarnation; it never returns to an earlier one.
+    enum class Stage { Serving, Leaving, Ended };
 
     struct State
     {
         Stage stage = Stage::Serving;
         SteadyTime backoffUntil{};
-        /// When an unreadable notice was last logged.
+        /// Time at which an unreadable notice was last logged.
         std::optional<SteadyTime> unreadableAt;
-        /// When it was last in a view, or told something.
-        SteadyTime knownAt{};
+        /// Time at which the incarnation was last in a view or gave a notice.
+        SteadyTime lastKnownAt{};
     };
 
     void noteLeaving(const std::string &upstream, SteadyTime now);
--- a/tests/gateway/notice_book_tests.cpp
+++ b/tests/gateway/notice_book_tests.cpp
@@ -107,7 +107,7 @@
         now += 1ms;
     }
     list({ "listed" });
-    CHECK(notices.remembered() == maxUnlistedIncarnations + 1);
+    CHECK(notices.incarnationCount() == maxUnlistedIncarnations + 1);
     CHECK(exclusionReason("listed") == ExclusionReason::Leaving);
     CHECK(exclusionReason("e0") == ExclusionReason::None);
     CHECK(exclusionReason("e" + std::to_string(maxUnlistedIncarnations + 499)) == ExclusionReason::Leaving);
@@ -117,10 +117,10 @@
 {
     asks("e", 1s);
     list({});
-    CHECK(notices.remembered() == 1);
+    CHECK(notices.incarnationCount() == 1);
     now += 2s;
     list({});
-    CHECK(notices.remembered() == 0);
+    CHECK(notices.incarnationCount() == 0);
 }
 
 TEST_CASE("Retry-After, each form that HTTP allows, is read")
