--- a/src/portpaddle/crashes/completed_requests.cpp
+++ b/src/portpaddle/crashes/completed_requests.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-// A monitor's question, the same each time, may be in progress at one end of an upstream after the other. What was served so
-// shortly before is not what ended the upstream; a request that has begun to end upstreams is counted again soon.
-constexpr Millis freshTime{ 2'000 };
+// The identical requests of a monitor may be in progress at every crash of an upstream. A request that was served so shortly
+// before did not cause the crash; one that has begun to crash upstreams is counted again after this time.
+constexpr Millis retention{ 2'000 };
 
-/// Made for each request that is served: a fast hash will do, as finding a second text gains nobody anything.
+/// Computed for each request that is served, so the hash is fast; it need not be cryptographic, since a collision gains nobody
+/// anything.
 std::uint64_t keyOf(const CallerRequest &request, std::string_view caller)
 {
     std::uint64_t key = 0;
@@ -28,21 +29,21 @@
 
 } // namespace
 
-CompletedRequests::CompletedRequests() : table_(std::make_unique<std::array<Place, places>>())
+CompletedRequests::CompletedRequests() : slots_(std::make_unique<std::array<Slot, slotCount>>())
 {
 }
 
 void CompletedRequests::add(const CallerRequest &request, std::string_view caller, SteadyTime now)
 {
     const std::uint64_t key = keyOf(request, caller);
-    table_->at(key % places) = { key, now };
+    slots_->at(key % slotCount) = { key, now };
 }
 
 bool CompletedRequests::contains(const CallerRequest &request, std::string_view caller, SteadyTime now) const
 {
     const std::uint64_t key = keyOf(request, caller);
-    const Place &place = table_->at(key % places);
-    return place.key == key && now - place.at < freshTime;
+    const Slot &slot = slots_->at(key % slotCount);
+    return slot.key == key && now - slot.at < retention;
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/completed_requests.h
+++ b/src/portpaddle/crashes/completed_requests.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Requests that upstreams have just run to a good end.
+/// The requests that upstreams have completed within the last moments.
 #pragma once
 
 #include "portpaddle/gateway/caller_request.h"
@@ -13,26 +13,26 @@
 
 namespace Portpaddle {
 
-/// Bounded and lossy: a later request may take the place of an earlier one. Belongs to one event loop.
+/// Keeps a bounded number of completed requests; a later request may replace an earlier one. Belongs to one event loop.
 class CompletedRequests
 {
 public:
     CompletedRequests();
 
-    /// An upstream ran @p request of @p caller whole.
+    /// Records that an upstream completed @p request of @p caller.
     void add(const CallerRequest &request, std::string_view caller, SteadyTime now);
-    /// Whether that was so a moment ago.
+    /// Returns whether an upstream completed the request within the last two seconds.
     bool contains(const CallerRequest &request, std::string_view caller, SteadyTime now) const;
 
 private:
-    static constexpr std::size_t places = 1'024;
-    struct Place
+    static constexpr std::size_t slotCount = 1'024;
+    struct Slot
     {
         std::uint64_t key = 0;
         SteadyTime at{};
     };
 
-    std::unique_ptr<std::array<Place, places>> table_;
+    std::unique_ptr<std::array<Slot, slotCount>> slots_;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/crash_digests.cpp
+++ b/src/portpaddle/crashes/crash_digests.cpp
@@ -14,12 +14,13 @@
 
 namespace {
 
-// Of ten datagrams one may be lost: all three are lost once in a thousand times.
-constexpr unsigned timesTold = 3;
-// In each region, so that those of a region that is cut off still count what ends there; two, as one may just have stopped.
-constexpr std::size_t countingInRegion = 2;
-// Waiting to be told; a crash of a large upstream brings some hundred.
-constexpr std::size_t maxWaiting = 2'048;
+// One datagram in ten may be lost; all three are lost once in a thousand cases.
+constexpr unsigned sendsPerItem = 3;
+// Daemons that count for a request in each region, so that a partitioned region still counts its own crashes; two, since one may
+// just have stopped.
+constexpr std::size_t countingPerRegion = 2;
+// Upper bound of the entries waiting to be sent; a crash of a large upstream adds some hundred.
+constexpr std::size_t maxPending = 2'048;
 
 std::uint64_t hashOf(const RequestFingerprint &request)
 {
@@ -27,25 +28,25 @@
 }
 
 template<typename Item>
-std::vector<Item> takeDue(auto &waiting)
+std::vector<Item> takeDue(auto &pending)
 {
     std::vector<Item> due;
-    for (auto &told : waiting) {
-        due.push_back(told.item);
-        --told.timesLeft;
+    for (auto &pendingItem : pending) {
+        due.push_back(pendingItem.item);
+        --pendingItem.sendsLeft;
     }
-    std::erase_if(waiting, [](const auto &told) { return told.timesLeft == 0; });
+    std::erase_if(pending, [](const auto &pendingItem) { return pendingItem.sendsLeft == 0; });
     return due;
 }
 
-/// Calls @p tell with as many items at a time as one digest holds.
+/// Calls @p send with chunks of at most as many items as one digest holds.
 template<typename Item>
-void inPieces(std::span<const Item> items, auto tell)
+void forEachChunk(std::span<const Item> items, auto send)
 {
     while (!items.empty()) {
-        const std::span<const Item> piece = items.first(std::min(maxDigestCrashes, items.size()));
-        tell(std::vector<Item>(piece.begin(), piece.end()));
-        items = items.subspan(piece.size());
+        const std::span<const Item> chunk = items.first(std::min(maxDigestCrashes, items.size()));
+        send(std::vector<Item>(chunk.begin(), chunk.end()));
+        items = items.subspan(chunk.size());
     }
 }
 
@@ -61,34 +62,34 @@
     return { request.high(), request.low() };
 }
 
-std::size_t countingRank(const FleetView &view, std::string_view daemon, const RequestFingerprint &request, std::size_t most)
+std::size_t countingRank(const FleetView &view, std::string_view daemon, const RequestFingerprint &request, std::size_t maxRank)
 {
     const double own = rendezvousScore(hashOf(request), stableHash(daemon), 1);
-    const auto before = std::count_if(view.daemons.begin(), view.daemons.end(), [&](const DaemonRecord &other) {
+    const auto betterRanked = std::count_if(view.daemons.begin(), view.daemons.end(), [&](const DaemonRecord &other) {
         return !other.leaving && rendezvousScore(hashOf(request), stableHash(other.id), 1) > own;
     });
-    return std::min(most, static_cast<std::size_t>(before));
+    return std::min(maxRank, static_cast<std::size_t>(betterRanked));
 }
 
 CrashDigests::CrashDigests(std::string ownId) : ownId_(std::move(ownId))
 {
 }
 
-void CrashDigests::endedUnder(const RequestFingerprint &request, std::uint64_t upstream)
+void CrashDigests::recordCrash(const RequestFingerprint &request, std::uint64_t upstream)
 {
-    if (ended_.size() < maxWaiting) {
-        ended_.push_back({ Wire::EndedUnder(toWire(request), upstream), timesTold });
+    if (crashes_.size() < maxPending) {
+        crashes_.push_back({ Wire::EndedUnder(toWire(request), upstream), sendsPerItem });
     }
 }
 
-void CrashDigests::quarantined(const RequestFingerprint &request)
+void CrashDigests::recordQuarantined(const RequestFingerprint &request)
 {
-    if (quarantined_.size() < maxWaiting) {
-        quarantined_.push_back({ toWire(request), timesTold });
+    if (quarantined_.size() < maxPending) {
+        quarantined_.push_back({ toWire(request), sendsPerItem });
     }
 }
 
-std::vector<std::string> CrashDigests::counting(const FleetView &view, const RequestFingerprint &request) const
+std::vector<std::string> CrashDigests::countingLinks(const FleetView &view, const RequestFingerprint &request) const
 {
     std::map<std::string, std::vector<std::pair<double, const DaemonRecord *>>> regions;
     for (const DaemonRecord &daemon : view.daemons) {
@@ -98,7 +99,7 @@
     }
     std::vector<std::string> links;
     for (auto &[region, ranked] : regions) {
-        const std::size_t count = std::min(countingInRegion, ranked.size());
+        const std::size_t count = std::min(countingPerRegion, ranked.size());
         std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count), ranked.end());
         for (std::size_t index = 0; index < count; ++index) {
             if (ranked[index].second->id != ownId_) {
@@ -112,7 +113,7 @@
 std::vector<OutgoingDigest> CrashDigests::due(const FleetView &view, const Wire::LoadDigestT &header)
 {
     std::vector<OutgoingDigest> out;
-    if (ended_.empty() && quarantined_.empty()) {
+    if (crashes_.empty() && quarantined_.empty()) {
         return out;
     }
     Wire::LoadDigestT digest = header;
@@ -125,15 +126,15 @@
 void CrashDigests::addEnded(const FleetView &view, const Wire::LoadDigestT &header, std::vector<OutgoingDigest> &out)
 {
     std::map<std::string, std::vector<Wire::EndedUnder>> byLink;
-    for (const Wire::EndedUnder &ended : takeDue<Wire::EndedUnder>(ended_)) {
-        for (const std::string &link : counting(view, fromWire(ended.request()))) {
+    for (const Wire::EndedUnder &ended : takeDue<Wire::EndedUnder>(crashes_)) {
+        for (const std::string &link : countingLinks(view, fromWire(ended.request()))) {
             byLink[link].push_back(ended);
         }
     }
     for (const auto &[link, items] : byLink) {
-        inPieces(std::span<const Wire::EndedUnder>(items), [&, &to = link](std::vector<Wire::EndedUnder> piece) {
+        forEachChunk(std::span<const Wire::EndedUnder>(items), [&, &to = link](std::vector<Wire::EndedUnder> chunk) {
             Wire::LoadDigestT digest = header;
-            digest.ended_under = std::move(piece);
+            digest.ended_under = std::move(chunk);
             out.push_back({ { to }, std::move(digest) });
         });
     }
@@ -148,9 +149,9 @@
         }
     }
     const std::vector<Wire::RequestDigest> requests = takeDue<Wire::RequestDigest>(quarantined_);
-    inPieces(std::span<const Wire::RequestDigest>(requests), [&](std::vector<Wire::RequestDigest> piece) {
+    forEachChunk(std::span<const Wire::RequestDigest>(requests), [&](std::vector<Wire::RequestDigest> chunk) {
         Wire::LoadDigestT digest = header;
-        digest.quarantined = std::move(piece);
+        digest.quarantined = std::move(chunk);
         out.push_back({ links, std::move(digest) });
     });
 }
--- a/src/portpaddle/crashes/crash_digests.h
+++ b/src/portpaddle/crashes/crash_digests.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What daemons tell each other of requests that upstreams ended under.
+/// The digests by which daemons report to each other the requests that were running when upstreams crashed.
 #pragma once
 
 #include "portpaddle/crashes/request_fingerprint.h"
@@ -14,41 +14,44 @@
 
 namespace Portpaddle {
 
+/// Converts a fingerprint to and from the type of the wire format.
 Wire::RequestDigest toWire(const RequestFingerprint &request);
 RequestFingerprint fromWire(const Wire::RequestDigest &request);
 
-/// Where @p daemon stands among those that count for @p request: the first ones by rendezvous hashing. At most @p most.
-std::size_t countingRank(const FleetView &view, std::string_view daemon, const RequestFingerprint &request, std::size_t most);
+/// Returns the rank of @p daemon for @p request by rendezvous hashing, at most @p maxRank. The first daemons count the crashes
+/// under the request.
+std::size_t countingRank(const FleetView &view, std::string_view daemon, const RequestFingerprint &request, std::size_t maxRank);
 
-/// Tells each thing several times, as datagrams are lost. Belongs to one event loop.
+/// Sends each entry several times, since datagrams may be lost. Belongs to one event loop.
 class CrashDigests
 {
 public:
     explicit CrashDigests(std::string ownId);
 
-    /// For the daemons that count for @p request.
-    void endedUnder(const RequestFingerprint &request, std::uint64_t upstream);
-    /// For all daemons.
-    void quarantined(const RequestFingerprint &request);
-    /// What to send now; call once in each interval.
+    /// Reports a crash of @p upstream under @p request to the daemons that count for the request.
+    void recordCrash(const RequestFingerprint &request, std::uint64_t upstream);
+    /// Announces to all daemons that @p request is quarantined.
+    void recordQuarantined(const RequestFingerprint &request);
+    /// Returns the digests to send now. Call once in each digest interval.
     std::vector<OutgoingDigest> due(const FleetView &view, const Wire::LoadDigestT &header);
 
 private:
+    /// An item that is sent in the next @p sendsLeft digests.
     template<typename Item>
-    struct Told
+    struct PendingItem
     {
         Item item;
-        unsigned timesLeft;
+        unsigned sendsLeft;
     };
 
-    /// The link addresses of the daemons that count for @p request, without this one.
-    std::vector<std::string> counting(const FleetView &view, const RequestFingerprint &request) const;
+    /// Returns the link addresses of the daemons that count for @p request, without this one.
+    std::vector<std::string> countingLinks(const FleetView &view, const RequestFingerprint &request) const;
     void addEnded(const FleetView &view, const Wire::LoadDigestT &header, std::vector<OutgoingDigest> &out);
     void addQuarantined(const FleetView &view, const Wire::LoadDigestT &header, std::vector<OutgoingDigest> &out);
 
     std::string ownId_;
-    std::deque<Told<Wire::EndedUnder>> ended_;
-    std::deque<Told<Wire::RequestDigest>> quarantined_;
+    std::deque<PendingItem<Wire::EndedUnder>> crashes_;
+    std::deque<PendingItem<Wire::RequestDigest>> quarantined_;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/crash_guard.cpp
+++ b/src/portpaddle/crashes/crash_guard.cpp
@@ -14,22 +14,23 @@
 
 namespace {
 
-// Upstreams are one network hop away: one that is there answers within milliseconds.
+// Upstreams are one network hop away: a running one accepts a connection within milliseconds.
 constexpr Millis connectTimeout{ 400 };
-// After so many a request is held. One upstream may end under a request by chance: another request ended it, or its machine.
-// While the news travel more of them end: 2 in all under a request that comes every quarter of a second, where a hold after three
-// ends lets 3 to 6 end; of some 1,400 harmless requests beside it none was lost, in place of 7 (three daemons, five seeds). None
-// was held by chance with either while a third of the upstreams ended five times within 9 s and callers repeated at once (123
-// ends).
-constexpr unsigned endsBeforeHold = 2;
-// Daemons write a hold one after the other, until one of them has: changes gather for half a second before others see them.
+// A request is quarantined after this many crashes. One upstream may crash under a request by chance: because of another request
+// or of its machine. More upstreams may crash until all daemons know of the quarantine: with a threshold of two, 2 crashed in all
+// under a request that came every quarter of a second, with three 3 to 6; of some 1,400 harmless requests beside it none was lost
+// instead of 7 (three daemons, five seeds). With either threshold no request was quarantined by chance while a third of the
+// upstreams crashed five times within 9 s and callers retried at once (123 crashes).
+constexpr unsigned crashesBeforeQuarantine = 2;
+// The daemons try to write a quarantine record one after the other, until one of them has written it: the platform collects
+// changes for half a second before other daemons get them.
 constexpr Millis writeStagger{ 1'500 };
 constexpr std::size_t maxWriters = 6;
 
 } // namespace
 
 CrashGuard::CrashGuard(Executor executor, ConnectionPool &pool, Metrics &metrics, std::string ownId)
-    : executor_(executor), pool_(pool), metrics_(metrics), ownId_(ownId), news_(std::move(ownId))
+    : executor_(executor), pool_(pool), metrics_(metrics), ownId_(ownId), digests_(std::move(ownId))
 {
 }
 
@@ -43,24 +44,24 @@
     completedRequests_.add(request, caller, now);
 }
 
-// A connection that breaks says little: answers are lost, machines reset connections. An upstream whose process has ended refuses
-// the next one at once, while its record stands for seconds more.
+// A broken connection does not prove a crash: answers are lost, and machines reset connections. An upstream whose process has
+// ended refuses the next connection at once, while its record remains for some seconds.
 void CrashGuard::recordBrokenRun(const UpstreamRecord &upstream, const CallerRequest &request, std::string_view caller,
                                  const RequestFingerprint &fingerprint, SteadyTime now)
 {
     if (completedRequests_.contains(request, caller, now)) {
         return;
     }
-    const bool first = watch_.broke(upstream.id, fingerprint, now);
+    const bool first = watch_.recordBreak(upstream.id, fingerprint, now);
     if (watch_.hasEnded(upstream.id)) {
-        noteSuspects(upstream.id, now);
+        recordSuspects(upstream.id, now);
     } else if (first) {
         spawnTask(executor_, "ask_upstream",
-                  [this, id = upstream.id, address = upstream.address] { return askWhetherItLives(id, address); });
+                  [this, id = upstream.id, address = upstream.address] { return probeUpstream(id, address); });
     }
 }
 
-Task<void> CrashGuard::askWhetherItLives(std::string upstream, std::string address)
+Task<void> CrashGuard::probeUpstream(std::string upstream, std::string address)
 {
     UpstreamConnection *opening = nullptr;
     NetError error;
@@ -69,7 +70,7 @@
     if (connection) {
         connection->usableUntil = now + defaultKeep;
         pool_.keep(upstream, std::move(connection));
-        watch_.lives(upstream);
+        watch_.confirmAlive(upstream);
     } else if (error == boost::asio::error::connection_refused) {
         upstreamEnded(upstream, now);
     }
@@ -78,13 +79,13 @@
 void CrashGuard::upstreamEnded(const std::string &upstream, SteadyTime now)
 {
     if (!watch_.hasEnded(upstream)) {
-        watch_.ended(upstream, now);
+        watch_.confirmEnded(upstream, now);
         metrics_.count(Counter::UpstreamsEnded);
     }
-    noteSuspects(upstream, now);
+    recordSuspects(upstream, now);
 }
 
-void CrashGuard::noteSuspects(const std::string &upstream, SteadyTime now)
+void CrashGuard::recordSuspects(const std::string &upstream, SteadyTime now)
 {
     const std::vector<RequestFingerprint> suspects = watch_.takeSuspects(upstream);
     if (suspects.empty()) {
@@ -92,29 +93,30 @@
     }
     logEvent(LogEvent::UpstreamEnded, { { "upstream", upstream }, { "requests", std::to_string(suspects.size()) } });
     for (const RequestFingerprint &suspect : suspects) {
-        news_.endedUnder(suspect, stableHash(upstream));
+        digests_.recordCrash(suspect, stableHash(upstream));
         count(suspect, stableHash(upstream), now);
     }
 }
 
-// A request comes again at any daemon: the ends that single daemons see add up at those that count for it, which are the same for
-// all. Every daemon counts what it saw itself, so that one that reaches no other stops as well.
+// A request may be retried at any daemon, so the crashes that single daemons see are added up at the daemons that count for the
+// request, which are the same for all. Every daemon also counts the crashes that it saw itself, so that one that cannot reach any
+// other quarantines the request as well.
 void CrashGuard::count(const RequestFingerprint &request, std::uint64_t upstream, SteadyTime now)
 {
-    if (ledger_.add(request, upstream, now) >= endsBeforeHold) {
-        hold(request, now);
+    if (ledger_.add(request, upstream, now) >= crashesBeforeQuarantine) {
+        quarantineRequest(request, now);
     }
 }
 
-void CrashGuard::hold(const RequestFingerprint &request, SteadyTime now)
+void CrashGuard::quarantineRequest(const RequestFingerprint &request, SteadyTime now)
 {
-    if (!quarantine_.hold(request, now)) {
+    if (!quarantine_.insert(request, now)) {
         return;
     }
     logEvent(LogEvent::RequestQuarantined,
              { { "fingerprint", request.hex() }, { "upstreams_ended", std::to_string(ledger_.count(request)) } });
     metrics_.count(Counter::RequestsQuarantined);
-    news_.quarantined(request);
+    digests_.recordQuarantined(request);
 }
 
 bool CrashGuard::hasQuarantined() const
@@ -131,7 +133,7 @@
 {
     view_ = std::move(view);
     quarantine_.setStored(view_->quarantined, now);
-    for (const std::string &upstream : watch_.undecided()) {
+    for (const std::string &upstream : watch_.unconfirmed()) {
         if (!view_->upstreams.contains(upstream)) {
             upstreamEnded(upstream, now);
         }
@@ -144,13 +146,13 @@
         count(fromWire(ended.request()), ended.upstream(), now);
     }
     for (const Wire::RequestDigest &request : digest.quarantined) {
-        quarantine_.hold(fromWire(request), now);
+        quarantine_.insert(fromWire(request), now);
     }
 }
 
 std::vector<OutgoingDigest> CrashGuard::dueDigests(const Wire::LoadDigestT &header)
 {
-    return view_ ? news_.due(*view_, header) : std::vector<OutgoingDigest>{};
+    return view_ ? digests_.due(*view_, header) : std::vector<OutgoingDigest>{};
 }
 
 void CrashGuard::tick(SteadyTime now)
@@ -168,7 +170,7 @@
     for (const Quarantine::Unwritten &unwritten : quarantine_.unwritten(now)) {
         const auto rank = static_cast<int>(countingRank(*view_, ownId_, unwritten.request, maxWriters));
         if (now >= unwritten.since + writeStagger * rank) {
-            quarantine_.askedToWrite(unwritten.request, now);
+            quarantine_.recordWriteRequest(unwritten.request, now);
             write_(unwritten.request);
         }
     }
--- a/src/portpaddle/crashes/crash_guard.h
+++ b/src/portpaddle/crashes/crash_guard.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Notices upstreams that end while they run requests, and keeps requests that end them from being sent to any more.
+/// Detects upstreams that crash while they run requests, and stops sending the requests that crash them.
 #pragma once
 
 #include "portpaddle/crashes/completed_requests.h"
@@ -22,41 +22,43 @@
 
 class Metrics;
 
-/// Belongs to one event loop, and lives as long as it.
+/// Detects crashes of upstreams and quarantines the requests that cause them. Belongs to one event loop and lives as long as it.
 class CrashGuard
 {
 public:
-    /// Has a held request written to the platform; must not wait.
+    /// Writes a quarantined request to the platform; must not block.
     using WriteRecord = std::function<void(const RequestFingerprint &)>;
 
     CrashGuard(Executor executor, ConnectionPool &pool, Metrics &metrics, std::string ownId);
 
-    /// Without it holds are told to other daemons only.
+    /// Sets the function that writes quarantined requests; without one they are announced to other daemons only.
     void setWriteRecord(WriteRecord write);
-    /// An upstream ran @p request of @p caller whole.
+    /// Records that an upstream completed @p request of @p caller.
     void recordCompleted(const CallerRequest &request, std::string_view caller, SteadyTime now);
-    /// The connection of a run broke before the run had shown that it can be run.
+    /// Records that the connection of a run broke before the run had proved that its request can be run.
     void recordBrokenRun(const UpstreamRecord &upstream, const CallerRequest &request, std::string_view caller,
                          const RequestFingerprint &fingerprint, SteadyTime now);
-    /// Nobody listens at the address of @p upstream, or it is listed no more.
+    /// Records that @p upstream refuses connections or is no longer listed.
     void upstreamEnded(const std::string &upstream, SteadyTime now);
-    /// Whether any request is held at all.
+    /// Returns whether any request is quarantined.
     bool hasQuarantined() const;
-    /// Whether @p request is not to be sent to upstreams any more.
+    /// Returns whether @p request is quarantined and must not be sent to upstreams.
     bool isQuarantined(const RequestFingerprint &request, SteadyTime now);
-    /// Upstreams that are listed no more have ended; requests are held that the platform has.
+    /// Treats upstreams that are not in @p view as ended, and quarantines the requests that the platform has.
     void setView(std::shared_ptr<const FleetView> view, SteadyTime now);
+    /// Applies the crashes and quarantined requests that another daemon reported.
     void takeNews(const Wire::LoadDigestT &digest, SteadyTime now);
-    /// What to tell other daemons; call once in each interval. @p header has the sender.
+    /// Returns the digests to send to other daemons. Call once in each digest interval; @p header holds the sender.
     std::vector<OutgoingDigest> dueDigests(const Wire::LoadDigestT &header);
+    /// Drops expired entries and writes due records. Call a few times a second.
     void tick(SteadyTime now);
 
 private:
-    Task<void> askWhetherItLives(std::string upstream, std::string address);
-    void noteSuspects(const std::string &upstream, SteadyTime now);
-    /// An upstream ended under @p request.
+    Task<void> probeUpstream(std::string upstream, std::string address);
+    void recordSuspects(const std::string &upstream, SteadyTime now);
+    /// Counts a crash of @p upstream under @p request.
     void count(const RequestFingerprint &request, std::uint64_t upstream, SteadyTime now);
-    void hold(const RequestFingerprint &request, SteadyTime now);
+    void quarantineRequest(const RequestFingerprint &request, SteadyTime now);
     void writeDue(SteadyTime now);
 
     Executor executor_;
@@ -69,7 +71,7 @@
     CrashWatch watch_;
     CrashLedger ledger_;
     Quarantine quarantine_;
-    CrashDigests news_;
+    CrashDigests digests_;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/crash_ledger.cpp
+++ b/src/portpaddle/crashes/crash_ledger.cpp
@@ -10,37 +10,37 @@
 
 namespace {
 
-// As long as the hold on a request is kept on the platform.
+// Equal to the time for which a quarantined request is kept on the platform.
 constexpr std::chrono::minutes generationTime{ 10 };
-// A large upstream has some hundred requests when it ends; 64 such ends fit.
-constexpr std::size_t maxYoung = 8'192;
-// More ends of upstreams say nothing more.
-constexpr std::size_t maxLives = 8;
+// A large upstream runs some hundred requests when it crashes; 64 such crashes fit.
+constexpr std::size_t maxCurrentRequests = 8'192;
+// More crashes under one request give no further information.
+constexpr std::size_t maxIncarnations = 8;
 
 } // namespace
 
 unsigned CrashLedger::add(const RequestFingerprint &request, std::uint64_t upstream, SteadyTime now)
 {
-    if (young_.size() >= maxYoung || now - youngSince_ >= generationTime) {
-        old_ = std::exchange(young_, {});
-        youngSince_ = now;
+    if (current_.size() >= maxCurrentRequests || now - currentSince_ >= generationTime) {
+        previous_ = std::exchange(current_, {});
+        currentSince_ = now;
     }
-    const auto before = old_.find(request);
-    if (before != old_.end()) {
-        young_.emplace(request, std::move(before->second));
-        old_.erase(before);
+    const auto before = previous_.find(request);
+    if (before != previous_.end()) {
+        current_.emplace(request, std::move(before->second));
+        previous_.erase(before);
     }
-    Lives &lives = young_[request];
-    const bool known = std::find(lives.begin(), lives.end(), upstream) != lives.end();
-    if (!known && lives.size() < maxLives) {
-        lives.push_back(upstream);
+    Incarnations &incarnations = current_[request];
+    const bool known = std::find(incarnations.begin(), incarnations.end(), upstream) != incarnations.end();
+    if (!known && incarnations.size() < maxIncarnations) {
+        incarnations.push_back(upstream);
     }
-    return static_cast<unsigned>(lives.size());
+    return static_cast<unsigned>(incarnations.size());
 }
 
 unsigned CrashLedger::count(const RequestFingerprint &request) const
 {
-    for (const Generation *generation : { &young_, &old_ }) {
+    for (const Generation *generation : { &current_, &previous_ }) {
         const auto found = generation->find(request);
         if (found != generation->end()) {
             return static_cast<unsigned>(found->second.size());
@@ -51,7 +51,7 @@
 
 std::size_t CrashLedger::size() const
 {
-    return young_.size() + old_.size();
+    return current_.size() + previous_.size();
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/crash_ledger.h
+++ b/src/portpaddle/crashes/crash_ledger.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Counts the upstreams that ended under each request.
+/// Counts the upstreams that crashed under each request.
 #pragma once
 
 #include "portpaddle/crashes/request_fingerprint.h"
@@ -12,23 +12,26 @@
 
 namespace Portpaddle {
 
-/// Belongs to one event loop. Bounded: the requests noted longest ago are forgotten first, and all within twenty minutes.
+/// Keeps a bounded number of requests: the requests recorded longest ago are dropped first, and every request after at most
+/// twenty minutes. Belongs to one event loop.
 class CrashLedger
 {
 public:
-    /// @p upstream is a hash of the life that ended. Returns how many different ones are known.
+    /// Adds a crash under @p request; @p upstream is the hash of the incarnation that ended. Returns how many different ones are
+    /// known.
     unsigned add(const RequestFingerprint &request, std::uint64_t upstream, SteadyTime now);
+    /// Returns how many different incarnations crashed under @p request.
     unsigned count(const RequestFingerprint &request) const;
     std::size_t size() const;
 
 private:
-    using Lives = std::vector<std::uint64_t>;
-    using Generation = std::map<RequestFingerprint, Lives>;
+    using Incarnations = std::vector<std::uint64_t>;
+    using Generation = std::map<RequestFingerprint, Incarnations>;
 
-    Generation young_;
-    /// Those not noted since the last change of generations; dropped at the next one.
-    Generation old_;
-    SteadyTime youngSince_{};
+    Generation current_;
+    /// Requests not recorded since the last change of generations; dropped at the next one.
+    Generation previous_;
+    SteadyTime currentSince_{};
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/crash_watch.cpp
+++ b/src/portpaddle/crashes/crash_watch.cpp
@@ -10,59 +10,60 @@
 
 namespace {
 
-// The record of an upstream that ended without a word goes after three heartbeats of silence, about four seconds.
-constexpr Millis longestWait{ 10'000 };
-// A large upstream runs some hundred requests at once, and a daemon has a part of them.
+// The record of an upstream that ended without notice is removed after three missed heartbeats, about four seconds.
+constexpr Millis maxEntryAge{ 10'000 };
+// A large upstream runs some hundred requests at once, and one daemon sends a part of them.
 constexpr std::size_t maxSuspects = 512;
-constexpr std::size_t maxLives = 1'024;
+constexpr std::size_t maxIncarnations = 1'024;
 
 } // namespace
 
-bool CrashWatch::broke(const std::string &upstream, const RequestFingerprint &fingerprint, SteadyTime now)
+bool CrashWatch::recordBreak(const std::string &upstream, const RequestFingerprint &fingerprint, SteadyTime now)
 {
-    const auto known = lives_.find(upstream);
-    const bool first = known == lives_.end();
-    if (first && lives_.size() >= maxLives) {
+    const auto known = incarnations_.find(upstream);
+    const bool first = known == incarnations_.end();
+    if (first && incarnations_.size() >= maxIncarnations) {
         return false;
     }
-    Life &life = first ? lives_.emplace(upstream, Life{ {}, now }).first->second : known->second;
-    const bool listed = std::find(life.suspects.begin(), life.suspects.end(), fingerprint) != life.suspects.end();
-    if (!listed && life.suspects.size() < maxSuspects) {
-        life.suspects.push_back(fingerprint);
+    Incarnation &incarnation = first ? incarnations_.emplace(upstream, Incarnation{ {}, now }).first->second : known->second;
+    const bool listed
+        = std::find(incarnation.suspects.begin(), incarnation.suspects.end(), fingerprint) != incarnation.suspects.end();
+    if (!listed && incarnation.suspects.size() < maxSuspects) {
+        incarnation.suspects.push_back(fingerprint);
     }
     return first;
 }
 
-void CrashWatch::lives(const std::string &upstream)
+void CrashWatch::confirmAlive(const std::string &upstream)
 {
-    const auto known = lives_.find(upstream);
-    if (known != lives_.end() && !known->second.over) {
-        lives_.erase(known);
+    const auto known = incarnations_.find(upstream);
+    if (known != incarnations_.end() && !known->second.endConfirmed) {
+        incarnations_.erase(known);
     }
 }
 
-void CrashWatch::ended(const std::string &upstream, SteadyTime now)
+void CrashWatch::confirmEnded(const std::string &upstream, SteadyTime now)
 {
-    const auto known = lives_.find(upstream);
-    if (known != lives_.end()) {
-        known->second.over = true;
-    } else if (lives_.size() < maxLives) {
-        // Runs whose break is noticed a moment later count as well.
-        lives_.emplace(upstream, Life{ {}, now, true });
+    const auto known = incarnations_.find(upstream);
+    if (known != incarnations_.end()) {
+        known->second.endConfirmed = true;
+    } else if (incarnations_.size() < maxIncarnations) {
+        // Keeps the entry, since runs whose break is detected a moment later count as well.
+        incarnations_.emplace(upstream, Incarnation{ {}, now, true });
     }
 }
 
 bool CrashWatch::hasEnded(const std::string &upstream) const
 {
-    const auto known = lives_.find(upstream);
-    return known != lives_.end() && known->second.over;
+    const auto known = incarnations_.find(upstream);
+    return known != incarnations_.end() && known->second.endConfirmed;
 }
 
-std::vector<std::string> CrashWatch::undecided() const
+std::vector<std::string> CrashWatch::unconfirmed() const
 {
     std::vector<std::string> result;
-    for (const auto &[upstream, life] : lives_) {
-        if (!life.over) {
+    for (const auto &[upstream, incarnation] : incarnations_) {
+        if (!incarnation.endConfirmed) {
             result.push_back(upstream);
         }
     }
@@ -71,18 +72,18 @@
 
 std::vector<RequestFingerprint> CrashWatch::takeSuspects(const std::string &upstream)
 {
-    const auto known = lives_.find(upstream);
-    return known == lives_.end() ? std::vector<RequestFingerprint>{} : std::exchange(known->second.suspects, {});
+    const auto known = incarnations_.find(upstream);
+    return known == incarnations_.end() ? std::vector<RequestFingerprint>{} : std::exchange(known->second.suspects, {});
 }
 
 void CrashWatch::expire(SteadyTime now)
 {
-    std::erase_if(lives_, [now](const auto &item) { return now - item.second.since >= longestWait; });
+    std::erase_if(incarnations_, [now](const auto &item) { return now - item.second.since >= maxEntryAge; });
 }
 
 std::size_t CrashWatch::size() const
 {
-    return lives_.size();
+    return incarnations_.size();
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/crash_watch.h
+++ b/src/portpaddle/crashes/crash_watch.h
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Which requests an upstream ended under: those whose runs broke there shortly before it turned out that it had ended.
+/// Finds the requests under which an upstream crashed: those whose runs broke there shortly before the upstream was found to have
+/// ended.
 #pragma once
 
 #include "portpaddle/crashes/request_fingerprint.h"
@@ -13,36 +14,36 @@
 
 namespace Portpaddle {
 
-/// Belongs to one event loop. Upstreams are named by their lives.
+/// Keeps the broken runs of each incarnation of an upstream; @p upstream is the id of an incarnation. Belongs to one event loop.
 class CrashWatch
 {
 public:
-    /// The connection of a run broke before the run had shown that it can be run. True where that is the first word of
-    /// @p upstream in a while, so that it should be asked whether it still lives.
-    bool broke(const std::string &upstream, const RequestFingerprint &fingerprint, SteadyTime now);
-    /// It still takes connections.
-    void lives(const std::string &upstream);
-    /// It has ended.
-    void ended(const std::string &upstream, SteadyTime now);
-    /// Whether it is known to have ended.
+    /// Records that the connection of a run broke before the run had proved that its request can be run. Returns true for the
+    /// first break of @p upstream in a while, after which the caller should probe whether it is still alive.
+    bool recordBreak(const std::string &upstream, const RequestFingerprint &fingerprint, SteadyTime now);
+    /// Records that @p upstream still accepts connections.
+    void confirmAlive(const std::string &upstream);
+    /// Records that @p upstream has ended.
+    void confirmEnded(const std::string &upstream, SteadyTime now);
+    /// Returns whether @p upstream is known to have ended.
     bool hasEnded(const std::string &upstream) const;
-    /// Upstreams of which it is not known yet.
-    std::vector<std::string> undecided() const;
-    /// Those that it ended under and that were not taken yet.
+    /// Returns the upstreams with broken runs of which it is not known yet whether they have ended.
+    std::vector<std::string> unconfirmed() const;
+    /// Returns the requests with broken runs at @p upstream that were not taken yet, and removes them.
     std::vector<RequestFingerprint> takeSuspects(const std::string &upstream);
-    /// Forgets what is over.
+    /// Drops expired entries.
     void expire(SteadyTime now);
     std::size_t size() const;
 
 private:
-    struct Life
+    struct Incarnation
     {
         std::vector<RequestFingerprint> suspects;
         SteadyTime since;
-        bool over = false;
+        bool endConfirmed = false;
     };
 
-    std::unordered_map<std::string, Life> lives_;
+    std::unordered_map<std::string, Incarnation> incarnations_;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/quarantine.cpp
+++ b/src/portpaddle/crashes/quarantine.cpp
@@ -9,87 +9,89 @@
 
 namespace {
 
-// Written again after half of its time, so that the other half is left for tries while the platform is away.
-constexpr auto renewAfter = quarantineTime / 2;
-// From the write of a record until its return with the changes of the platform it takes about half a second.
-constexpr Millis betweenWrites{ 5'000 };
+// A record is written again after half of its lifetime, so that the other half is left for retries while the platform is
+// unavailable.
+constexpr auto renewalAge = quarantineTime / 2;
+// A written record returns with the platform's changes after about half a second; until then it must not be written again.
+constexpr Millis minWriteInterval{ 5'000 };
 
 } // namespace
 
-bool Quarantine::hold(const RequestFingerprint &request, SteadyTime now)
+bool Quarantine::insert(const RequestFingerprint &request, SteadyTime now)
 {
-    if (held_.contains(request)) {
+    if (requests_.contains(request)) {
         return false;
     }
-    makeRoom();
-    held_.emplace(request, Held{ now, now, std::nullopt, std::nullopt });
+    evictOldest();
+    requests_.emplace(request, Entry{ now, now, std::nullopt, std::nullopt });
     return true;
 }
 
-void Quarantine::makeRoom()
+void Quarantine::evictOldest()
 {
-    if (held_.size() < maxQuarantined) {
+    if (requests_.size() < maxQuarantined) {
         return;
     }
-    const auto oldest = std::min_element(held_.begin(), held_.end(),
-                                         [](const auto &a, const auto &b) { return a.second.cameAt < b.second.cameAt; });
-    held_.erase(oldest);
+    const auto oldest = std::min_element(requests_.begin(), requests_.end(),
+                                         [](const auto &a, const auto &b) { return a.second.receivedAt < b.second.receivedAt; });
+    requests_.erase(oldest);
 }
 
 void Quarantine::setStored(const QuarantinedRequests &stored, SteadyTime now)
 {
-    std::erase_if(held_, [&stored](const auto &item) { return item.second.storedAt && !stored.contains(item.first); });
+    std::erase_if(requests_, [&stored](const auto &item) { return item.second.storedAt && !stored.contains(item.first); });
     for (const auto &[request, at] : stored) {
-        hold(request, now);
-        held_.at(request).storedAt = at;
+        insert(request, now);
+        requests_.at(request).storedAt = at;
     }
 }
 
 bool Quarantine::empty() const
 {
-    return held_.empty();
+    return requests_.empty();
 }
 
 bool Quarantine::isQuarantined(const RequestFingerprint &request, SteadyTime now)
 {
-    const auto found = held_.find(request);
-    if (found == held_.end()) {
+    const auto found = requests_.find(request);
+    if (found == requests_.end()) {
         return false;
     }
-    found->second.cameAt = now;
+    found->second.receivedAt = now;
     return true;
 }
 
 std::vector<Quarantine::Unwritten> Quarantine::unwritten(SteadyTime now) const
 {
     std::vector<Unwritten> result;
-    for (const auto &[request, held] : held_) {
-        if (held.askedAt && now - *held.askedAt < betweenWrites) {
+    for (const auto &[request, entry] : requests_) {
+        if (entry.writeRequestedAt && now - *entry.writeRequestedAt < minWriteInterval) {
             continue;
         }
-        if (!held.storedAt) {
-            result.push_back({ request, held.since });
+        if (!entry.storedAt) {
+            result.push_back({ request, entry.since });
             continue;
         }
-        const SteadyTime renewal = *held.storedAt + renewAfter;
-        if (renewal <= now && held.cameAt >= renewal) {
+        const SteadyTime renewal = *entry.storedAt + renewalAge;
+        if (renewal <= now && entry.receivedAt >= renewal) {
             result.push_back({ request, renewal });
         }
     }
     return result;
 }
 
-void Quarantine::askedToWrite(const RequestFingerprint &request, SteadyTime now)
+void Quarantine::recordWriteRequest(const RequestFingerprint &request, SteadyTime now)
 {
-    const auto found = held_.find(request);
-    if (found != held_.end()) {
-        found->second.askedAt = now;
+    const auto found = requests_.find(request);
+    if (found != requests_.end()) {
+        found->second.writeRequestedAt = now;
     }
 }
 
 void Quarantine::expire(SteadyTime now)
 {
-    std::erase_if(held_, [now](const auto &item) { return !item.second.storedAt && now - item.second.cameAt >= quarantineTime; });
+    std::erase_if(requests_,
+                  [now](const auto &item) { return !item.second.storedAt && now - item.second.receivedAt >= quarantineTime; });
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/quarantine.h
+++ b/src/portpaddle/crashes/quarantine.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The requests that are not sent to upstreams any more, because upstreams ended under them.
+/// The requests that are no longer sent to upstreams, because upstreams crashed under them.
 #pragma once
 
 #include "portpaddle/crashes/request_fingerprint.h"
@@ -13,51 +13,51 @@
 
 namespace Portpaddle {
 
-/// How long a request is held on the platform after it came last.
+/// How long a request stays quarantined on the platform after it was last received.
 inline constexpr std::chrono::minutes quarantineTime{ 10 };
-/// Requests held at most; the one that came longest ago gives way.
+/// Maximum number of quarantined requests; the one that was received longest ago is dropped for a new one.
 inline constexpr std::size_t maxQuarantined = 512;
 
-/// Requests held on the platform, each with the time at which that was last written, as far as this daemon saw it.
+/// The requests quarantined on the platform, each with the time at which this daemon saw its record written last.
 using QuarantinedRequests = std::map<RequestFingerprint, SteadyTime>;
 
-/// Belongs to one event loop.
+/// Keeps the quarantined requests and which of them have to be written to the platform. Belongs to one event loop.
 class Quarantine
 {
 public:
-    /// Holds @p request from now on; false if it is held already.
-    bool hold(const RequestFingerprint &request, SteadyTime now);
-    /// What the platform has; what it had before and has not any more is let go.
+    /// Quarantines @p request; returns false if it is quarantined already.
+    bool insert(const RequestFingerprint &request, SteadyTime now);
+    /// Adds the requests that the platform has, and drops those that it had before and no longer has.
     void setStored(const QuarantinedRequests &stored, SteadyTime now);
     bool empty() const;
-    /// Whether @p request is held; notes that it came.
+    /// Returns whether @p request is quarantined, and records that it was received.
     bool isQuarantined(const RequestFingerprint &request, SteadyTime now);
-    /// A request that is to be written to the platform, and since when.
+    /// A request that has to be written to the platform, and since when.
     struct Unwritten
     {
         RequestFingerprint request;
         SteadyTime since;
     };
-    /// Those that the platform does not have, or will not have for much longer although they still come.
+    /// Returns the requests that the platform does not have, or whose record expires soon although they are still received.
     std::vector<Unwritten> unwritten(SteadyTime now) const;
-    /// The platform was asked to keep @p request.
-    void askedToWrite(const RequestFingerprint &request, SteadyTime now);
-    /// Lets go what the platform never took; call a few times a second.
+    /// Records that the platform was asked to store @p request.
+    void recordWriteRequest(const RequestFingerprint &request, SteadyTime now);
+    /// Drops expired requests that the platform never stored. Call a few times a second.
     void expire(SteadyTime now);
 
 private:
-    struct Held
+    struct Entry
     {
         SteadyTime since;
-        SteadyTime cameAt;
-        /// When it was written to the platform; none before.
+        SteadyTime receivedAt;
+        /// Time at which the request was written to the platform; no value before.
         std::optional<SteadyTime> storedAt;
-        std::optional<SteadyTime> askedAt;
+        std::optional<SteadyTime> writeRequestedAt;
     };
 
-    void makeRoom();
+    void evictOldest();
 
-    std::map<RequestFingerprint, Held> held_;
+    std::map<RequestFingerprint, Entry> requests_;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/quarantine_record.cpp
+++ b/src/portpaddle/crashes/quarantine_record.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-constexpr std::string_view prefix = "portpaddle/quarantine/";
-// Only that the record is there counts; operators read in the log what it is about.
+constexpr std::string_view keyPrefix = "portpaddle/quarantine/";
+// Only the existence of the record matters; the log tells operators about the request.
 constexpr const char *recordText = "{}";
 
 } // namespace
 
 LeasedRecord quarantineRecord(const RequestFingerprint &request)
 {
-    return { std::string(prefix) + request.hex(), recordText, quarantineTime, LogEvent::QuarantineNotWritten };
+    return { std::string(keyPrefix) + request.hex(), recordText, quarantineTime, LogEvent::QuarantineNotWritten };
 }
 
 std::optional<RequestFingerprint> requestHeldBy(const std::string &key)
 {
-    return key.starts_with(prefix) ? fingerprintFromHex(std::string_view(key).substr(prefix.size())) : std::nullopt;
+    return key.starts_with(keyPrefix) ? fingerprintFromHex(std::string_view(key).substr(keyPrefix.size())) : std::nullopt;
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/quarantine_record.h
+++ b/src/portpaddle/crashes/quarantine_record.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The records by which requests stay held when all daemons restart.
+/// The records by which requests stay quarantined when all daemons restart.
 #pragma once
 
 #include "portpaddle/crashes/request_fingerprint.h"
@@ -12,8 +12,9 @@
 
 namespace Portpaddle {
 
+/// Returns the record that quarantines @p request on the platform.
 LeasedRecord quarantineRecord(const RequestFingerprint &request);
-/// The request that the record at @p key holds; no value when the key is another one.
+/// Returns the request that the record at @p key quarantines; no value if it is not the key of such a record.
 std::optional<RequestFingerprint> requestHeldBy(const std::string &key);
 
 } // namespace Portpaddle
--- a/src/portpaddle/crashes/request_fingerprint.cpp
+++ b/src/portpaddle/crashes/request_fingerprint.cpp
@@ -31,7 +31,8 @@
     return fmt::format("{:016x}{:016x}", high, low);
 }
 
-// A digest that nobody can find a second text for: whoever knew one could have the requests of others refused.
+// The digest has to be collision resistant: anybody who found a second request with the same one could have the requests of
+// others refused.
 RequestFingerprint fingerprintOf(const CallerRequest &request, std::string_view caller)
 {
     const Sha256Digest digest = sha256OfParts({ request.host, viewOf(request.message.target()), caller, request.message.body() });
@@ -44,9 +45,9 @@
 std::optional<RequestFingerprint> fingerprintFromHex(std::string_view hex)
 {
     RequestFingerprint fingerprint;
-    const bool good = hex.size() == 2 * halfDigits && readHalf(hex.substr(0, halfDigits), fingerprint.high)
+    const bool valid = hex.size() == 2 * halfDigits && readHalf(hex.substr(0, halfDigits), fingerprint.high)
         && readHalf(hex.substr(halfDigits), fingerprint.low);
-    return good ? std::optional(fingerprint) : std::nullopt;
+    return valid ? std::optional(fingerprint) : std::nullopt;
 }
 
 } // namespace Portpaddle
--- a/tests/gateway/crash_guard_tests.cpp
+++ b/tests/gateway/crash_guard_tests.cpp
@@ -111,21 +111,21 @@
 TEST_CASE("Crash watch, connection broke and upstream takes the next, accuses nobody")
 {
     CrashWatch watch;
-    CHECK(watch.broke("u1", bad, start));
-    CHECK_FALSE(watch.broke("u1", other, start));
-    watch.lives("u1");
-    watch.ended("u1", start + 1s);
+    CHECK(watch.recordBreak("u1", bad, start));
+    CHECK_FALSE(watch.recordBreak("u1", other, start));
+    watch.confirmAlive("u1");
+    watch.confirmEnded("u1", start + 1s);
     CHECK(watch.takeSuspects("u1").empty());
 }
 
 TEST_CASE("Crash watch, upstream ended, accuses those whose runs broke before and shortly after, each once")
 {
     CrashWatch watch;
-    watch.broke("u1", bad, start);
-    watch.broke("u1", bad, start);
-    watch.ended("u1", start);
+    watch.recordBreak("u1", bad, start);
+    watch.recordBreak("u1", bad, start);
+    watch.confirmEnded("u1", start);
     CHECK(watch.takeSuspects("u1") == std::vector{ bad });
-    watch.broke("u1", other, start + 1ms);
+    watch.recordBreak("u1", other, start + 1ms);
     CHECK(watch.hasEnded("u1"));
     CHECK(watch.takeSuspects("u1") == std::vector{ other });
     watch.expire(start + 1min);
@@ -165,10 +165,10 @@
 TEST_CASE("Quarantine, more requests than it holds, keeps those that still come")
 {
     Quarantine quarantine;
-    CHECK(quarantine.hold(bad, start));
+    CHECK(quarantine.insert(bad, start));
     for (std::uint64_t index = 0; index < 2 * maxQuarantined; ++index) {
         const SteadyTime now = start + std::chrono::milliseconds(index);
-        quarantine.hold({ 100 + index, 0 }, now);
+        quarantine.insert({ 100 + index, 0 }, now);
         CHECK(quarantine.isQuarantined(bad, now));
     }
     CHECK_FALSE(quarantine.isQuarantined({ 100, 0 }, start + 1h));
@@ -177,9 +177,9 @@
 TEST_CASE("Quarantine, platform does not have it, is to be written; once it has, only when half of its time is over and it comes")
 {
     Quarantine quarantine;
-    quarantine.hold(bad, start);
+    quarantine.insert(bad, start);
     REQUIRE(quarantine.unwritten(start).size() == 1);
-    quarantine.askedToWrite(bad, start);
+    quarantine.recordWriteRequest(bad, start);
     CHECK(quarantine.unwritten(start + 1s).empty());
     CHECK(quarantine.unwritten(start + 6s).size() == 1);
     quarantine.setStored({ { bad, start + 1s } }, start + 1s);
@@ -200,7 +200,7 @@
 TEST_CASE("Quarantine, platform never took it and it comes no more, is over after ten minutes")
 {
     Quarantine quarantine;
-    quarantine.hold(bad, start);
+    quarantine.insert(bad, start);
     quarantine.expire(start + 9min);
     CHECK_FALSE(quarantine.empty());
     quarantine.expire(start + 10min);
@@ -221,7 +221,7 @@
 {
     const FleetView view = fleet(3, 4);
     CrashDigests news("d-0-0");
-    news.endedUnder(bad, 7);
+    news.recordCrash(bad, 7);
     std::set<std::string> told;
     for (unsigned turn = 0; turn < 3; ++turn) {
         for (const OutgoingDigest &outgoing : news.due(view, {})) {
@@ -237,7 +237,7 @@
     CHECK(told.size() <= 7);
     // Another daemon names the same ones.
     CrashDigests elsewhere("d-1-1");
-    elsewhere.endedUnder(bad, 8);
+    elsewhere.recordCrash(bad, 8);
     for (const OutgoingDigest &outgoing : elsewhere.due(view, {})) {
         CHECK(told.contains(outgoing.to.front()));
     }
@@ -248,8 +248,8 @@
     const FleetView view = fleet(1, 3);
     CrashDigests news("d-0-0");
     for (std::uint64_t index = 0; index < 500; ++index) {
-        news.endedUnder({ index, index * index }, 7);
-        news.quarantined({ index, index });
+        news.recordCrash({ index, index * index }, 7);
+        news.recordQuarantined({ index, index });
     }
     Wire::LoadDigestT header;
     header.daemon = std::string(60, 'd');
