--- a/src/portpaddle/settings/checker.cpp
+++ b/src/portpaddle/settings/checker.cpp
@@ -18,12 +18,12 @@
 
 using Problems = std::vector<SettingsProblem>;
 
-constexpr std::size_t shownValueLength = 80;
+constexpr std::size_t maxValueTextLength = 80;
 
-std::string shown(const nlohmann::json &value)
+std::string valueText(const nlohmann::json &value)
 {
     const std::string text = value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-    return text.size() <= shownValueLength ? text : text.substr(0, shownValueLength) + "...";
+    return text.size() <= maxValueTextLength ? text : text.substr(0, maxValueTextLength) + "...";
 }
 
 bool isListOfTexts(const nlohmann::json &value)
@@ -38,8 +38,8 @@
         return false;
     }
     const std::string padded = fmt::format("|{}|", key.choices);
-    const std::string word = value.get<std::string>();
-    return word.find('|') == std::string::npos && padded.find(fmt::format("|{}|", word)) != std::string::npos;
+    const std::string choice = value.get<std::string>();
+    return choice.find('|') == std::string::npos && padded.find(fmt::format("|{}|", choice)) != std::string::npos;
 }
 
 bool isInBounds(const KeyDescription &key, const nlohmann::json &value)
@@ -53,7 +53,7 @@
         && std::all_of(value.begin(), value.end(), [&](const nlohmann::json &item) { return isInBounds(key, item); });
 }
 
-bool fits(const KeyDescription &key, const nlohmann::json &value)
+bool isValid(const KeyDescription &key, const nlohmann::json &value)
 {
     switch (key.type) {
     case ValueType::Number:
@@ -100,12 +100,12 @@
             { path, name, fmt::format("the key at a node of kind {}", nameOf(kind)), "see the settings reference" });
         return;
     }
-    if (!fits(*key, value)) {
-        problems.push_back({ path, name, shown(value), allowedText(*key) });
+    if (!isValid(*key, value)) {
+        problems.push_back({ path, name, valueText(value), allowedText(*key) });
     }
 }
 
-std::set<std::string> namesBelow(const SettingsTree &tree, NodeKind kind)
+std::set<std::string> nodeNames(const SettingsTree &tree, NodeKind kind)
 {
     std::set<std::string> names;
     for (const auto &[path, node] : tree.nodes()) {
@@ -120,7 +120,7 @@
 {
     const std::string parent = parentPath(path);
     if (!parent.empty() && parent != "/" && tree.nodes().count(parent) == 0) {
-        problems.push_back({ path, "", "a node without its parent", fmt::format("write {} as well", parent) });
+        problems.push_back({ path, "", "a node without its parent", fmt::format("add {} as well", parent) });
     }
 }
 
@@ -129,19 +129,19 @@
     const auto address = node.find("address");
     if (address == node.end() || !address->second.value.is_string()
         || !isOk(parseSocketAddress(address->second.value.get<std::string>()))) {
-        const std::string found = address == node.end() ? "nothing" : shown(address->second.value);
-        problems.push_back({ path, "address", found, "an IP number and a port, like 10.0.0.1:8000" });
+        const std::string found = address == node.end() ? "nothing" : valueText(address->second.value);
+        problems.push_back({ path, "address", found, "an IP address and a port, like 10.0.0.1:8000" });
     }
     const auto services = node.find("services");
     if (services == node.end() || !isListOfTexts(services->second.value)) {
         return;
     }
-    const std::set<std::string> known = namesBelow(tree, NodeKind::Service);
+    const std::set<std::string> known = nodeNames(tree, NodeKind::Service);
     for (const nlohmann::json &item : services->second.value) {
         const std::string text = item.get<std::string>();
         const std::string name = text.substr(0, text.find('@'));
         if (known.count(name) == 0) {
-            problems.push_back({ path, "services", shown(item), "a service that has a node below /services" });
+            problems.push_back({ path, "services", valueText(item), "a service that has a node below /services" });
         }
     }
 }
@@ -152,15 +152,15 @@
     if (residency == node.end() || !isListOfTexts(residency->second.value)) {
         return;
     }
-    const std::set<std::string> regions = namesBelow(tree, NodeKind::Region);
+    const std::set<std::string> regions = nodeNames(tree, NodeKind::Region);
     for (const nlohmann::json &item : residency->second.value) {
         if (regions.count(item.get<std::string>()) == 0) {
-            problems.push_back({ path, "residency", shown(item), "a region that has a node below /regions" });
+            problems.push_back({ path, "residency", valueText(item), "a region that has a node below /regions" });
         }
     }
 }
 
-/// The regions in which some upstream offers @p service.
+/// Returns the regions in which at least one upstream offers @p service.
 std::set<std::string> regionsServing(const SettingsTree &tree, const std::string &service)
 {
     std::set<std::string> regions;
@@ -180,23 +180,23 @@
     return regions;
 }
 
-void checkRunsSomewhere(const SettingsTree &tree, const std::string &path, Problems &problems)
+void checkResidencyIsServed(const SettingsTree &tree, const std::string &path, Problems &problems)
 {
     if (kindOfPath(path) != NodeKind::OrganisationService && kindOfPath(path) != NodeKind::Service) {
         return;
     }
     const std::string service = path.substr(path.rfind('/') + 1);
     const nlohmann::json residency = tree.resolve(path, "residency").value;
-    const std::set<std::string> serving = regionsServing(tree, service);
-    if (!isListOfTexts(residency) || residency.empty() || serving.empty()) {
+    const std::set<std::string> servingRegions = regionsServing(tree, service);
+    if (!isListOfTexts(residency) || residency.empty() || servingRegions.empty()) {
         return;
     }
-    const bool somewhere = std::any_of(residency.begin(), residency.end(), [&](const nlohmann::json &region) {
-        return serving.count(region.get<std::string>()) != 0;
+    const bool isServed = std::any_of(residency.begin(), residency.end(), [&](const nlohmann::json &region) {
+        return servingRegions.count(region.get<std::string>()) != 0;
     });
-    if (!somewhere) {
+    if (!isServed) {
         problems.push_back(
-            { path, "residency", shown(residency), "at least one region in which an upstream offers the service" });
+            { path, "residency", valueText(residency), "at least one region in which an upstream offers the service" });
     }
 }
 
@@ -223,7 +223,7 @@
         const std::size_t space = text.find(' ');
         if (space == 0 || space == std::string::npos || text[space + 1] != '/') {
             problems.push_back(
-                { path, "at_most_once", shown(item), "a method, one space and a path, like \"POST /loads/confirm\"" });
+                { path, "at_most_once", valueText(item), "a method, one space and a path, like \"POST /loads/confirm\"" });
         }
     }
 }
@@ -246,7 +246,7 @@
         }
         checkParents(tree, path, problems);
         checkResidency(tree, path, node, problems);
-        checkRunsSomewhere(tree, path, problems);
+        checkResidencyIsServed(tree, path, problems);
         checkWeights(tree, path, problems);
         checkAtMostOnce(path, node, problems);
         if (*kind == NodeKind::Upstream) {
--- a/src/portpaddle/settings/checker.h
+++ b/src/portpaddle/settings/checker.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Checks a whole tree of settings before it is accepted.
+/// Validation of a whole settings tree before a change is accepted.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 class SettingsTree;
 
-/// One thing wrong in the settings.
+/// A path, node or value that is not allowed in the settings.
 struct SettingsProblem
 {
     std::string path;
@@ -20,9 +20,9 @@
     std::string allowed;
 };
 
-/// Every problem of @p tree; empty when it may be accepted.
+/// Returns every problem of @p tree; an empty list means that the tree is valid.
 std::vector<SettingsProblem> checkSettings(const SettingsTree &tree);
-/// The problem as one line for people.
+/// Formats @p problem as one line for operators.
 std::string describe(const SettingsProblem &problem);
 
 } // namespace Portpaddle
--- a/src/portpaddle/settings/compiled.cpp
+++ b/src/portpaddle/settings/compiled.cpp
@@ -18,12 +18,12 @@
 constexpr NameTable<ServiceKind, 2> serviceKindNames{ { "model", "plain" } };
 constexpr double defaultLinkMs = 50;
 
-std::vector<std::string> textsOf(const nlohmann::json &value)
+std::vector<std::string> stringsOf(const nlohmann::json &value)
 {
     return value.is_array() ? value.get<std::vector<std::string>>() : std::vector<std::string>{};
 }
 
-/// The name that follows the collection at @p depth, for example 0 for the region in /regions/R/....
+/// Returns the name of the node at @p depth in @p path: in /regions/R/data_centres/D, depth 0 gives R and depth 1 gives D.
 std::string nameAt(const std::string &path, int depth)
 {
     std::size_t begin = path.find('/', 1) + 1;
@@ -43,7 +43,7 @@
     return from + '/' + to;
 }
 
-/// Resolves the keys of one policy and remembers where each value came from.
+/// Resolves the keys of one policy and records the origin of each value.
 class PolicyBuilder
 {
 public:
@@ -53,29 +53,29 @@
 
     RequestPolicy build()
     {
-        policy_.costWeight = take("cost_weight").get<double>();
-        policy_.latencyWeight = take("latency_weight").get<double>();
-        policy_.awayWeight = take("away_weight").get<double>();
-        policy_.awayMarginMs = take("away_margin_ms").get<double>();
-        policy_.prefillTokensPerSecond = take("prefill_tokens_per_second").get<double>();
-        policy_.tokenMs = take("token_ms").get<double>();
-        policy_.retryBudgetPercent = take("retry_budget_percent").get<double>();
-        policy_.maxRequestsPerSecond = take("max_requests_per_second").get<double>();
-        policy_.maxTokensPerSecond = take("max_tokens_per_second").get<double>();
-        policy_.maxConcurrent = take("max_concurrent").get<unsigned>();
-        policy_.hopLimit = take("hop_limit").get<unsigned>();
-        policy_.maxAttempts = take("max_attempts").get<unsigned>();
-        policy_.deadline = Millis{ take("deadline_ms").get<std::int64_t>() };
-        policy_.queueLimit = Millis{ take("queue_limit_ms").get<std::int64_t>() };
-        policy_.requestClass = requestClassNames.find(take("class").get<std::string>()).value_or(RequestClass::Interactive);
-        policy_.version = take("version").get<std::string>();
-        policy_.residency = textsOf(take("residency"));
+        policy_.costWeight = resolveKey("cost_weight").get<double>();
+        policy_.latencyWeight = resolveKey("latency_weight").get<double>();
+        policy_.awayWeight = resolveKey("away_weight").get<double>();
+        policy_.awayMarginMs = resolveKey("away_margin_ms").get<double>();
+        policy_.prefillTokensPerSecond = resolveKey("prefill_tokens_per_second").get<double>();
+        policy_.tokenMs = resolveKey("token_ms").get<double>();
+        policy_.retryBudgetPercent = resolveKey("retry_budget_percent").get<double>();
+        policy_.maxRequestsPerSecond = resolveKey("max_requests_per_second").get<double>();
+        policy_.maxTokensPerSecond = resolveKey("max_tokens_per_second").get<double>();
+        policy_.maxConcurrent = resolveKey("max_concurrent").get<unsigned>();
+        policy_.hopLimit = resolveKey("hop_limit").get<unsigned>();
+        policy_.maxAttempts = resolveKey("max_attempts").get<unsigned>();
+        policy_.deadline = Millis{ resolveKey("deadline_ms").get<std::int64_t>() };
+        policy_.queueLimit = Millis{ resolveKey("queue_limit_ms").get<std::int64_t>() };
+        policy_.requestClass = requestClassNames.find(resolveKey("class").get<std::string>()).value_or(RequestClass::Interactive);
+        policy_.version = resolveKey("version").get<std::string>();
+        policy_.residency = stringsOf(resolveKey("residency"));
         std::sort(policy_.residency.begin(), policy_.residency.end());
         return std::move(policy_);
     }
 
 private:
-    nlohmann::json take(const std::string &key)
+    nlohmann::json resolveKey(const std::string &key)
     {
         ResolvedValue resolved = tree_.resolve(chain_, key);
         policy_.origins.push_back(SettingOrigin{ key, resolved.value.dump(), resolved.path, resolved.version });
@@ -93,8 +93,8 @@
     service.name = nameAt(path, 0);
     service.kind = serviceKindNames.find(tree.resolve(path, "kind").value.get<std::string>()).value_or(ServiceKind::Model);
     service.pathPrefix = tree.resolve(path, "path_prefix").value.get<std::string>();
-    service.atMostOnce = textsOf(tree.resolve(path, "at_most_once").value);
-    service.retryableMethods = textsOf(tree.resolve(path, "repeatable_methods").value);
+    service.atMostOnce = stringsOf(tree.resolve(path, "at_most_once").value);
+    service.retryableMethods = stringsOf(tree.resolve(path, "repeatable_methods").value);
     service.checksIdempotencyKey = tree.resolve(path, "checks_repeat_key").value.get<bool>();
     return service;
 }
@@ -109,7 +109,7 @@
     upstream.slots = tree.resolve(path, "slots").value.get<unsigned>();
     upstream.leaving = tree.resolve(path, "state").value == "leaving";
     upstream.checksFence = tree.resolve(path, "checks_fence").value.get<bool>();
-    for (const std::string &text : textsOf(tree.resolve(path, "services").value)) {
+    for (const std::string &text : stringsOf(tree.resolve(path, "services").value)) {
         const std::size_t at = text.find('@');
         const std::string version = at == std::string::npos ? "" : text.substr(at + 1);
         upstream.services.push_back(OfferedService{ text.substr(0, at), version });
--- a/src/portpaddle/settings/compiled.h
+++ b/src/portpaddle/settings/compiled.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The settings as the request path reads them: typed, resolved and indexed by name.
+/// The settings in the form used by the request path: typed, resolved and indexed by name.
 #pragma once
 
 #include "portpaddle/settings/tree.h"
@@ -13,15 +13,15 @@
 
 namespace Portpaddle {
 
-/// How urgent a request is.
+/// The urgency of a request.
 enum class RequestClass { Interactive, Deferrable };
-/// What kind of upstream a service has.
+/// The kind of upstreams that serve a service.
 enum class ServiceKind { Model, Plain };
 
 std::string_view nameOf(RequestClass value);
 std::string_view nameOf(ServiceKind value);
 
-/// Where one effective value came from.
+/// An effective value together with the path and version that set it.
 struct SettingOrigin
 {
     std::string key;
@@ -30,7 +30,7 @@
     std::uint64_t version = 0;
 };
 
-/// Everything in force for the requests of one organisation to one service, seen from one data centre.
+/// The effective settings for requests of one organisation to one service in one data centre.
 struct RequestPolicy
 {
     double costWeight = 1;
@@ -49,16 +49,16 @@
     Millis queueLimit{ 2'000 };
     RequestClass requestClass = RequestClass::Interactive;
     std::string version;
-    /// Sorted; empty allows every region.
+    /// The allowed regions, sorted; an empty list allows every region.
     std::vector<std::string> residency;
     std::vector<SettingOrigin> origins;
 
     bool allowsRegion(const std::string &region) const;
-    /// Null when the key plays no part in a policy.
+    /// Returns the origin of @p key; null when the key is not part of a policy.
     const SettingOrigin *originOf(std::string_view key) const;
 };
 
-/// A service as the request path needs it.
+/// The settings of a service that the request path uses.
 struct ServiceSettings
 {
     std::string name;
@@ -72,14 +72,14 @@
     bool isRetryable(const std::string &method) const;
 };
 
-/// A service that an upstream offers.
+/// A service offered by an upstream, with its version.
 struct OfferedService
 {
     std::string name;
     std::string version;
 };
 
-/// An upstream as the settings describe it.
+/// An upstream that is listed in the settings.
 struct UpstreamSettings
 {
     std::string id;
@@ -92,14 +92,14 @@
     std::vector<OfferedService> services;
 };
 
-/// The place of a daemon.
+/// The location of a daemon.
 struct Place
 {
     std::string region;
     std::string dataCentre;
 };
 
-/// Immutable; made anew for each version.
+/// One version of the settings, compiled for one place. Immutable: each new version is compiled into a new object.
 class CompiledSettings
 {
 public:
@@ -109,16 +109,17 @@
     const SettingsTree &tree() const;
     const Place &place() const;
     const ServiceSettings *service(const std::string &name) const;
-    /// The plain service whose prefix is the longest that @p path begins with.
+    /// Returns the plain service with the longest path prefix that matches @p path; null when none matches.
     const ServiceSettings *serviceForPath(const std::string &path) const;
     const std::vector<ServiceSettings> &services() const;
     const std::vector<UpstreamSettings> &upstreams() const;
     bool hasOrganisation(const std::string &name) const;
-    /// Never null: organisations without a node get what the service and the root say.
+    /// Returns the policy of @p organisation for @p service. Organisations without a node get the policy of the service, unknown
+    /// services that of the place and the root.
     const RequestPolicy &policy(const std::string &organisation, const std::string &service) const;
-    /// One-way time between two regions.
+    /// Returns the one-way latency between two regions in milliseconds.
     double linkMs(const std::string &from, const std::string &to) const;
-    /// The region of a data centre; empty when unknown.
+    /// Returns the region of @p dataCentre; empty when the data centre is unknown.
     std::string regionOf(const std::string &dataCentre) const;
     std::vector<std::string> dataCentres() const;
 
@@ -133,7 +134,7 @@
     RequestPolicy fallback_;
 };
 
-/// The paths whose values apply to a request, most specific first.
+/// Returns the paths whose values apply to a request, most specific first.
 std::vector<std::string> requestChain(const std::string &organisation, const std::string &service, const Place &place);
 
 } // namespace Portpaddle
--- a/src/portpaddle/settings/schema.cpp
+++ b/src/portpaddle/settings/schema.cpp
@@ -25,70 +25,70 @@
 constexpr unsigned atRequest
     = bitOf(NodeKind::Root) | bitOf(NodeKind::Service) | bitOf(NodeKind::Organisation) | bitOf(NodeKind::OrganisationService);
 constexpr unsigned atRequestOrPlace = atRequest | atPlace;
-constexpr double anyLimit = 1e9;
-constexpr double longestMillis = 86'400'000;
+constexpr double maxLimit = 1e9;
+constexpr double maxMillis = 86'400'000;
 
-// Sorted by name: the reference page and the nearest-key search rely on it.
+// The keys must be sorted by name: the reference page and the nearest-key search rely on the order.
 constexpr std::array<KeyDescription, 29> schema{ {
     { "address", ValueType::Text, "host:port", 0, 0, "", "", atUpstream,
-      "Where the upstream listens, as an IP number and a port." },
+      "Address on which the upstream listens, as an IP address and a port." },
     { "at_most_once", ValueType::TextList, "METHOD path", 0, 0, "[]", "", atService,
-      "Calls that may not be repeated: a method and a path; a path ending in * covers all below it." },
-    { "away_margin_ms", ValueType::Number, "ms", 0, longestMillis, "20", "", atRequestOrPlace,
-      "How much better another data centre must score before a request is sent away." },
+      "Calls that must not run twice: a method and a path; a path ending in * covers every path below it." },
+    { "away_margin_ms", ValueType::Number, "ms", 0, maxMillis, "20", "", atRequestOrPlace,
+      "How much better another data centre must score before a request is forwarded to it." },
     { "away_weight", ValueType::Number, "1", 0, 1000, "1", "", atRequestOrPlace,
-      "Weight of sending a request away to another region." },
+      "Weight of forwarding a request to another region." },
     { "checks_fence", ValueType::Boolean, "", 0, 0, "true", "", atUpstream,
-      "Whether the engine itself refuses orders with an outdated fence." },
+      "Whether the engine itself refuses orders with an outdated fencing token." },
     { "checks_repeat_key", ValueType::Boolean, "", 0, 0, "false", "", atService,
       "Whether the upstreams themselves refuse a second call with the same Idempotency-Key." },
     { "class", ValueType::Choice, "", 0, 0, "\"interactive\"", "interactive|deferrable", atRequest,
-      "Whether a request answers a person who waits, or work that may wait but must finish." },
+      "Whether a person waits for the answer, or the work may wait but must finish." },
     { "cost_weight", ValueType::Number, "1", 0, 1000, "1", "", atRequestOrPlace,
-      "Weight of computation spent, above all on cold caches." },
-    { "deadline_ms", ValueType::Integer, "ms", 1, longestMillis, "120000", "", atRequest,
-      "Longest time from arrival to the last byte." },
-    { "display_name", ValueType::Text, "", 0, 0, "\"\"", "", ~0U, "A name for people." },
+      "Weight of the computation spent, mainly because of cold caches." },
+    { "deadline_ms", ValueType::Integer, "ms", 1, maxMillis, "120000", "", atRequest,
+      "Maximum time from the arrival of a request to the last byte of its answer." },
+    { "display_name", ValueType::Text, "", 0, 0, "\"\"", "", ~0U, "Human-readable name." },
     { "hop_limit", ValueType::Integer, "hops", 0, 8, "2", "", atRequest,
-      "How often a request may be forwarded between data centres." },
+      "Maximum number of times that a request is forwarded between data centres." },
     { "kind", ValueType::Choice, "", 0, 0, "\"model\"", "model|plain", atService,
-      "Whether engines or plain upstreams serve it." },
+      "Whether engines or plain upstreams serve the service." },
     { "latency_weight", ValueType::Number, "1", 0, 1000, "1", "", atRequestOrPlace,
       "Weight of the predicted time to the first byte." },
     { "link_ms", ValueType::NumberMap, "ms", 0, 10'000, "{}", "", bitOf(NodeKind::Region),
-      "One-way time to other regions, by name; regions not named count as 50 ms." },
+      "One-way latency to other regions, by name; regions not listed count as 50 ms." },
     { "max_attempts", ValueType::Integer, "attempts", 1, 10, "3", "", atRequest,
-      "Upstreams tried for one request in one data centre." },
-    { "max_concurrent", ValueType::Integer, "requests", 0, anyLimit, "0", "", atRequest,
-      "Requests of an organisation in progress over all daemons; 0 is no limit." },
-    { "max_requests_per_second", ValueType::Number, "requests/s", 0, anyLimit, "0", "", atRequest,
-      "Requests of an organisation a second over all daemons; 0 is no limit." },
-    { "max_tokens_per_second", ValueType::Number, "tokens/s", 0, anyLimit, "0", "", atRequest,
-      "Tokens of an organisation, asked and answered, a second over all daemons; 0 is no limit." },
+      "Maximum number of upstreams tried for one request in one data centre." },
+    { "max_concurrent", ValueType::Integer, "requests", 0, maxLimit, "0", "", atRequest,
+      "Maximum number of requests of an organisation in progress over all daemons; 0 means no limit." },
+    { "max_requests_per_second", ValueType::Number, "requests/s", 0, maxLimit, "0", "", atRequest,
+      "Maximum number of requests of an organisation per second over all daemons; 0 means no limit." },
+    { "max_tokens_per_second", ValueType::Number, "tokens/s", 0, maxLimit, "0", "", atRequest,
+      "Maximum number of prompt and answer tokens of an organisation per second over all daemons; 0 means no limit." },
     { "path_prefix", ValueType::Text, "", 0, 0, "\"\"", "", atService,
-      "Paths of a plain service begin with this; none for models." },
-    { "prefill_tokens_per_second", ValueType::Number, "tokens/s", 1, anyLimit, "20000", "", atRequestOrPlace,
-      "How fast an engine reads a prompt that is not cached." },
-    { "queue_limit_ms", ValueType::Integer, "ms", 0, longestMillis, "2000", "", atRequest,
-      "Longest predicted wait at which an interactive request is still taken." },
+      "Prefix of the paths of a plain service; empty for models." },
+    { "prefill_tokens_per_second", ValueType::Number, "tokens/s", 1, maxLimit, "20000", "", atRequestOrPlace,
+      "Rate at which an engine processes a prompt that is not cached." },
+    { "queue_limit_ms", ValueType::Integer, "ms", 0, maxMillis, "2000", "", atRequest,
+      "Maximum predicted wait at which an interactive request is still accepted." },
     { "repeatable_methods", ValueType::TextList, "", 0, 0, "[\"GET\", \"HEAD\", \"OPTIONS\"]", "", atService,
-      "Methods of a plain service that may be sent again when it is not known whether they ran." },
+      "Methods of a plain service that may be retried when it is not known whether the call ran." },
     { "residency", ValueType::TextList, "regions", 0, 0, "[]", "", atRequest,
       "Regions in which a request and its data may be; an empty list allows every region." },
     { "retry_budget_percent", ValueType::Number, "%", 0, 100, "10", "", atRequestOrPlace,
-      "Retries allowed per hundred requests of a daemon." },
+      "Maximum number of retries per hundred requests of a daemon." },
     { "services", ValueType::TextList, "service@version", 0, 0, "[]", "", atUpstream,
-      "What the upstream serves; a version is optional." },
+      "Services that the upstream offers; the version is optional." },
     { "slots", ValueType::Integer, "requests", 1, 100'000, "8", "", atUpstream,
-      "Requests the upstream works on at the same time." },
+      "Number of requests that the upstream runs at the same time." },
     { "state", ValueType::Choice, "", 0, 0, "\"serving\"", "serving|leaving", atUpstream,
-      "A leaving upstream gets no new work." },
+      "Whether the upstream receives new requests; a leaving upstream receives none." },
     { "token_ms", ValueType::Number, "ms", 0, 10'000, "20", "", atRequestOrPlace,
-      "Time an engine takes for one token of one request." },
-    { "version", ValueType::Text, "", 0, 0, "\"\"", "", atRequest, "The version of the model to use; empty takes any." },
+      "Time that an engine takes per token of one request." },
+    { "version", ValueType::Text, "", 0, 0, "\"\"", "", atRequest, "Version of the model to use; empty allows any version." },
 } };
 
-constexpr std::size_t longestPath = 256;
+constexpr std::size_t maxPathLength = 256;
 
 std::vector<std::string_view> splitPath(std::string_view path)
 {
@@ -163,7 +163,7 @@
     if (path == "/") {
         return NodeKind::Root;
     }
-    if (path.size() < 2 || path.size() > longestPath || path.front() != '/') {
+    if (path.size() < 2 || path.size() > maxPathLength || path.front() != '/') {
         return std::nullopt;
     }
     const std::vector<std::string_view> parts = splitPath(path);
--- a/src/portpaddle/settings/schema.h
+++ b/src/portpaddle/settings/schema.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The keys that settings may hold: type, unit, bounds, default and where each may stand.
+/// The keys of the settings: their types, units, bounds, defaults and the nodes that may hold them.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 namespace Portpaddle {
 
-/// What a path of the tree denotes.
+/// The kind of node that a path of the tree denotes.
 enum class NodeKind { Root, Region, DataCentre, Upstream, Service, Organisation, OrganisationService };
 
-/// How a value is written.
+/// The type of a value.
 enum class ValueType { Number, Integer, Boolean, Text, Choice, TextList, NumberMap };
 
-/// One key of the settings.
+/// The description of one settings key.
 struct KeyDescription
 {
     std::string_view name;
@@ -26,34 +26,34 @@
     std::string_view unit;
     double minimum;
     double maximum;
-    /// The built-in default as JSON; empty when the key has none.
+    /// The built-in default as JSON; empty when the key has no default.
     std::string_view defaultJson;
-    /// Allowed words of a Choice, separated by '|'.
+    /// The allowed values of a Choice, separated by '|'.
     std::string_view choices;
-    /// Bits of the node kinds that may hold the key.
+    /// A bit mask of the node kinds that may hold the key, see bitOf().
     unsigned allowedAt;
     std::string_view meaning;
 };
 
-/// The stable name of @p kind.
+/// Returns the stable name of @p kind.
 std::string_view nameOf(NodeKind kind);
-/// The stable name of @p type.
+/// Returns the stable name of @p type.
 std::string_view nameOf(ValueType type);
-/// The bit of @p kind in KeyDescription::allowedAt.
+/// Returns the bit of @p kind in KeyDescription::allowedAt.
 constexpr unsigned bitOf(NodeKind kind)
 {
     return 1U << static_cast<unsigned>(kind);
 }
 
-/// Every key, sorted by name.
+/// Returns the descriptions of all keys, sorted by name.
 std::span<const KeyDescription> settingsSchema();
-/// The key with this name; null when there is none.
+/// Returns the key called @p name; null when there is none.
 const KeyDescription *findKey(std::string_view name);
-/// The known key that resembles @p name most.
+/// Returns the name of the key with the smallest edit distance to @p name.
 std::string_view nearestKey(std::string_view name);
-/// What @p path denotes; no value when it is not a path of the tree.
+/// Returns the kind of node that @p path denotes; no value when the path is not valid.
 std::optional<NodeKind> kindOfPath(std::string_view path);
-/// The path above @p path that values are inherited from; empty above the root.
+/// Returns the path from which @p path inherits values; empty for the root.
 std::string parentPath(std::string_view path);
 
 } // namespace Portpaddle
--- a/src/portpaddle/settings/settings_log.cpp
+++ b/src/portpaddle/settings/settings_log.cpp
@@ -18,9 +18,9 @@
 
 constexpr std::string_view logPrefix = "portpaddle/settings/log/";
 constexpr std::string_view snapshotKey = "portpaddle/settings/snapshot";
-/// A fresh VM reads one snapshot and at most this many changes.
+/// The number of changes between two snapshots. A new VM reads one snapshot and at most this many changes.
 constexpr std::uint64_t snapshotInterval = 64;
-constexpr int appendAttempts = 16;
+constexpr int maxAppendAttempts = 16;
 constexpr std::size_t listLimit = 100;
 
 Error conflict(std::string message)
@@ -28,7 +28,7 @@
     return Error{ ErrorCode::VersionConflict, std::move(message), RunState::NotRun, std::nullopt };
 }
 
-SettingsPatch replacedBy(const SettingsTree &tree, const SettingsPatch &patch)
+SettingsPatch replacedValues(const SettingsTree &tree, const SettingsPatch &patch)
 {
     SettingsPatch before;
     for (const PatchEntry &entry : patch) {
@@ -79,8 +79,7 @@
     const bool readable = json.is_object() && json.contains("version") && json["version"].is_number_unsigned()
         && json.contains("patch") && json["patch"].is_object();
     if (!readable) {
-        return Error{ ErrorCode::SettingsInvalid, "an entry of the settings log is not readable", RunState::NotRun,
-                      std::nullopt };
+        return Error{ ErrorCode::SettingsInvalid, "an entry of the settings log cannot be read", RunState::NotRun, std::nullopt };
     }
     SettingsChange change;
     change.version = json["version"].get<std::uint64_t>();
@@ -115,7 +114,7 @@
         if (!isOk(change)) {
             return errorOf(change);
         }
-        // A gap means that an older part of the log was trimmed: the snapshot covers it.
+        // A gap means that an older part of the log was trimmed; the snapshot covers the trimmed part.
         if (valueOf(change).version != version + changes.size() + 1) {
             break;
         }
@@ -155,7 +154,7 @@
 
 Result<std::vector<SettingsChange>> SettingsLog::watch(std::uint64_t version, Millis timeout)
 {
-    // The entry is awaited by its own key: a watch over the whole log would hand back all of it.
+    // Watches the key of the next entry only: a watch over the whole log would return the whole log.
     const Result<std::vector<KeyValue>> seen = store_.watch(settingsLogKey(version + 1), 0, timeout);
     if (!isOk(seen)) {
         return errorOf(seen);
@@ -189,22 +188,22 @@
 
 Result<SettingsChange> SettingsLog::propose(const ChangeProposal &proposal, SettingsTree known)
 {
-    for (int attempt = 0; attempt < appendAttempts; ++attempt) {
+    for (int attempt = 0; attempt < maxAppendAttempts; ++attempt) {
         Result<SettingsTree> newest = catchUp(std::move(known));
         if (!isOk(newest)) {
             return errorOf(newest);
         }
         known = std::move(valueOf(newest));
-        const Status moved = refuseIfMoved(proposal, known.version());
-        if (!isOk(moved)) {
-            return errorOf(moved);
+        const Status versionCheck = checkExpectedVersion(proposal, known.version());
+        if (!isOk(versionCheck)) {
+            return errorOf(versionCheck);
         }
         Result<SettingsChange> appended = appendTo(known, proposal);
         if (isOk(appended) || errorOf(appended).code != ErrorCode::VersionConflict) {
             return appended;
         }
     }
-    return conflict("other operators were faster again and again; nothing was changed");
+    return conflict("other changes were accepted first on every attempt; nothing was changed");
 }
 
 Result<SettingsChange> SettingsLog::appendTo(const SettingsTree &tree, const ChangeProposal &proposal)
@@ -217,7 +216,7 @@
     change.reason = proposal.reason;
     change.wallMs = clock_.wall().count();
     change.patch = proposal.patch;
-    change.before = replacedBy(tree, proposal.patch);
+    change.before = replacedValues(tree, proposal.patch);
     const SettingsTree changed = tree.with(change.patch, change.version);
     const std::vector<SettingsProblem> problems = checkSettings(changed);
     if (!problems.empty()) {
@@ -225,7 +224,7 @@
     }
     const Result<std::uint64_t> written = store_.put(settingsLogKey(change.version), changeToText(change), mustBeAbsent);
     if (!isOk(written)) {
-        return settle(change, errorOf(written));
+        return resolveFailedWrite(change, errorOf(written));
     }
     if (change.version % snapshotInterval == 0) {
         writeSnapshot(changed);
@@ -233,7 +232,7 @@
     return change;
 }
 
-Result<SettingsChange> SettingsLog::settle(const SettingsChange &change, const Error &writeError)
+Result<SettingsChange> SettingsLog::resolveFailedWrite(const SettingsChange &change, const Error &writeError)
 {
     if (writeError.run == RunState::NotRun && writeError.code != ErrorCode::VersionConflict) {
         return writeError;
@@ -250,14 +249,14 @@
         if (isOk(entry) && valueOf(entry).changeId == change.changeId) {
             return valueOf(entry);
         }
-        return conflict("another change took this version");
+        return conflict("another change was accepted as this version");
     }
-    // The write is known not to be there now, but a delayed one may still arrive: the same change id keeps a repeat safe.
+    // The write has not been applied yet, but a delayed write may still be. A retry with the same change id is safe.
     return Error{ ErrorCode::PlatformUnavailable, "the platform did not confirm the change", RunState::MayHaveRun,
                   Millis{ 1000 } };
 }
 
-Status SettingsLog::refuseIfMoved(const ChangeProposal &proposal, std::uint64_t newest)
+Status SettingsLog::checkExpectedVersion(const ChangeProposal &proposal, std::uint64_t newest)
 {
     if (!proposal.expectedVersion || *proposal.expectedVersion == newest) {
         return success();
@@ -269,20 +268,21 @@
     if (!isOk(since)) {
         return errorOf(since);
     }
-    std::string moved;
-    std::set<std::string> named;
+    std::string changedKeys;
+    std::set<std::string> listedKeys;
     for (const SettingsChange &change : valueOf(since)) {
-        // The caller's own change under a lost reply is no conflict: it is the answer it waits for.
+        // The caller's own change was accepted, but the reply was lost: it must not be listed as a conflicting change.
         if (change.changeId == proposal.changeId) {
             return conflict(fmt::format("this change was accepted already, as version {}", change.version));
         }
         for (const PatchEntry &entry : change.patch) {
-            if (named.insert(entry.path + ' ' + entry.key).second) {
-                moved += fmt::format("\n  {} {} (version {} by {})", entry.path, entry.key, change.version, change.author);
+            if (listedKeys.insert(entry.path + ' ' + entry.key).second) {
+                changedKeys += fmt::format("\n  {} {} (version {} by {})", entry.path, entry.key, change.version, change.author);
             }
         }
     }
-    return conflict(fmt::format("the settings moved from version {} to {}:{}", *proposal.expectedVersion, newest, moved));
+    return conflict(
+        fmt::format("the settings changed between versions {} and {}:{}", *proposal.expectedVersion, newest, changedKeys));
 }
 
 void SettingsLog::writeSnapshot(const SettingsTree &tree)
@@ -299,7 +299,7 @@
             return;
         }
     }
-    // Losing this race or the reply costs a fresh VM some reading and nothing else.
+    // A failed or lost write is ignored: a new VM then only reads more changes from the log.
     store_.put(std::string(snapshotKey), tree.toSnapshot().dump(), revision);
 }
 
--- a/src/portpaddle/settings/settings_log.h
+++ b/src/portpaddle/settings/settings_log.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The totally ordered log of accepted changes, kept in the platform's key-value service.
+/// The totally ordered log of accepted settings changes, stored in the platform's key-value store.
 #pragma once
 
 #include "portpaddle/settings/tree.h"
@@ -15,7 +15,7 @@
 class Clock;
 class KeyValueStore;
 
-/// One accepted change: an entry of the log and of the audit trail.
+/// An accepted change: an entry of the log and of the audit trail.
 struct SettingsChange
 {
     std::uint64_t version = 0;
@@ -25,11 +25,11 @@
     std::string reason;
     std::int64_t wallMs = 0;
     SettingsPatch patch;
-    /// What the patch replaced.
+    /// The values that the patch replaced.
     SettingsPatch before;
 };
 
-/// A change that an operator asks for.
+/// A change proposed by an operator.
 struct ChangeProposal
 {
     std::string changeId;
@@ -37,36 +37,36 @@
     std::string from;
     std::string reason;
     SettingsPatch patch;
-    /// The version the operator looked at; without one the change applies to whatever is newest.
+    /// The version on which the proposal is based; without a value the change applies to the newest version.
     std::optional<std::uint64_t> expectedVersion;
 };
 
 std::string changeToText(const SettingsChange &change);
 Result<SettingsChange> changeFromText(const std::string &text);
-/// The log key of @p version.
+/// Returns the key of the log entry of @p version.
 std::string settingsLogKey(std::uint64_t version);
 
-/// Reads and extends the log. Stateless but for the store: safe to make anew at any time.
+/// Reads and extends the log. Holds no state of its own, so that instances may be created at any time.
 class SettingsLog
 {
 public:
     SettingsLog(KeyValueStore &store, const Clock &clock);
 
-    /// The changes above @p version, oldest first, at most @p limit.
+    /// Returns the changes after @p version, oldest first, at most @p limit of them.
     Result<std::vector<SettingsChange>> after(std::uint64_t version, std::size_t limit = 100);
-    /// Brings @p tree to the newest version, by way of the snapshot when that saves reading.
+    /// Returns @p tree advanced to the newest version; a tree of version 0 starts from the stored snapshot.
     Result<SettingsTree> catchUp(SettingsTree tree);
-    /// Waits until the log goes beyond @p version or until @p timeout.
+    /// Waits up to @p timeout for changes after @p version and returns them; empty on a timeout.
     Result<std::vector<SettingsChange>> watch(std::uint64_t version, Millis timeout);
-    /// The patch that takes @p present back to the values of @p version; applying it makes a new version.
+    /// Returns the patch that changes @p present back to the values of @p version. Applying the patch creates a new version.
     Result<SettingsPatch> patchRestoring(std::uint64_t version, const SettingsTree &present);
-    /// Checks and accepts a change; the value is the accepted change.
+    /// Validates a change and appends it to the log; returns the accepted change. The log is read on from @p known.
     Result<SettingsChange> propose(const ChangeProposal &proposal, SettingsTree known = {});
 
 private:
     Result<SettingsChange> appendTo(const SettingsTree &tree, const ChangeProposal &proposal);
-    Result<SettingsChange> settle(const SettingsChange &change, const Error &writeError);
-    Status refuseIfMoved(const ChangeProposal &proposal, std::uint64_t newest);
+    Result<SettingsChange> resolveFailedWrite(const SettingsChange &change, const Error &writeError);
+    Status checkExpectedVersion(const ChangeProposal &proposal, std::uint64_t newest);
     void writeSnapshot(const SettingsTree &tree);
 
     KeyValueStore &store_;
--- a/src/portpaddle/settings/tree.cpp
+++ b/src/portpaddle/settings/tree.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-nlohmann::json defaultOf(const std::string &key)
+nlohmann::json builtInDefault(const std::string &key)
 {
     const KeyDescription *description = findKey(key);
     if (description == nullptr || description->defaultJson.empty()) {
@@ -27,8 +27,8 @@
     return Error{ ErrorCode::SettingsInvalid, std::move(message), RunState::NotRun, std::nullopt };
 }
 
-/// Refuses what the ordinary parser would silently drop: a member that stands twice in one object.
-class DuplicateMemberCheck
+/// Finds members that appear twice in one object; the JSON parser itself would silently keep only the last of them.
+class DuplicateMemberDetector
 {
 public:
     bool operator()(int depth, nlohmann::json::parse_event_t event, nlohmann::json &parsed)
@@ -84,7 +84,7 @@
             return ResolvedValue{ value->second.value, path, value->second.version };
         }
     }
-    return ResolvedValue{ defaultOf(key), "built-in", 0 };
+    return ResolvedValue{ builtInDefault(key), "built-in", 0 };
 }
 
 ResolvedValue SettingsTree::resolve(const std::string &path, const std::string &key) const
@@ -161,7 +161,7 @@
 {
     const nlohmann::json json = nlohmann::json::parse(text, nullptr, false);
     if (!json.is_object() || !json.contains("version") || !json["version"].is_number_unsigned() || !json.contains("nodes")) {
-        return invalid("the snapshot of the settings is not readable");
+        return invalid("the settings snapshot cannot be read");
     }
     SettingsTree tree;
     tree.version_ = json["version"].get<std::uint64_t>();
@@ -169,7 +169,7 @@
         Node &target = tree.nodes_[path];
         for (const auto &[key, value] : node.items()) {
             if (!value.is_object() || !value.contains("value") || !value.contains("version")) {
-                return invalid(fmt::format("the snapshot of the settings is not readable at {} {}", path, key));
+                return invalid(fmt::format("the settings snapshot cannot be read at {} {}", path, key));
             }
             target[key] = SettingValue{ value["value"], value["version"].get<std::uint64_t>() };
         }
@@ -190,14 +190,14 @@
 {
     constexpr bool allowExceptions = true;
     constexpr bool ignoreComments = true;
-    DuplicateMemberCheck duplicates;
+    DuplicateMemberDetector duplicates;
     try {
         auto callback = [&](int depth, nlohmann::json::parse_event_t event, nlohmann::json &parsed) {
             return duplicates(depth, event, parsed);
         };
         nlohmann::json json = nlohmann::json::parse(text, callback, allowExceptions, ignoreComments);
         if (!duplicates.duplicate().empty()) {
-            return invalid(fmt::format("{}: '{}' stands twice in one object", source, duplicates.duplicate()));
+            return invalid(fmt::format("{}: '{}' appears twice in one object", source, duplicates.duplicate()));
         }
         return json;
     } catch (const nlohmann::json::parse_error &error) {
--- a/src/portpaddle/settings/tree.h
+++ b/src/portpaddle/settings/tree.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The tree of settings: values at paths, inherited downward unless overridden.
+/// The tree of settings: values at paths, which nodes inherit from their ancestors unless they override them.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -16,14 +16,14 @@
 
 namespace Portpaddle {
 
-/// A value and the version of the settings that set it.
+/// A value and the version of the settings in which it was set.
 struct SettingValue
 {
     nlohmann::json value;
     std::uint64_t version = 0;
 };
 
-/// A value with the node it came from; the version is zero and the path "built-in" for a default.
+/// A value and the path of the node that holds it; for a default the path is "built-in" and the version 0.
 struct ResolvedValue
 {
     nlohmann::json value;
@@ -31,7 +31,7 @@
     std::uint64_t version = 0;
 };
 
-/// One change of a key; a null value removes it, an empty key removes the whole node.
+/// A change of one key. A null value removes the key. With an empty key, null removes the node, any other value creates it.
 struct PatchEntry
 {
     std::string path;
@@ -39,10 +39,10 @@
     nlohmann::json value;
 };
 
-/// Changes that are accepted or refused together.
+/// Changes that are accepted or rejected together.
 using SettingsPatch = std::vector<PatchEntry>;
 
-/// An immutable version of all settings.
+/// All settings of one version. Immutable.
 class SettingsTree
 {
 public:
@@ -50,13 +50,13 @@
 
     std::uint64_t version() const;
     const std::map<std::string, Node> &nodes() const;
-    /// The first value found along @p chain of paths, then the built-in default.
+    /// Returns the first value of @p key along @p chain, or the built-in default when no path of the chain has one.
     ResolvedValue resolve(std::span<const std::string> chain, const std::string &key) const;
-    /// Resolves from @p path upward.
+    /// Resolves @p key at @p path and its ancestors.
     ResolvedValue resolve(const std::string &path, const std::string &key) const;
-    /// This tree with @p patch applied as version @p version.
+    /// Returns a copy of this tree with @p patch applied as version @p version.
     SettingsTree with(const SettingsPatch &patch, std::uint64_t version) const;
-    /// The patch that turns this tree into @p target.
+    /// Returns the patch that changes this tree into @p target.
     SettingsPatch differenceTo(const SettingsTree &target) const;
 
     nlohmann::json toSnapshot() const;
@@ -67,9 +67,9 @@
     std::map<std::string, Node> nodes_;
 };
 
-/// The path and all its ancestors, nearest first.
+/// Returns @p path and all its ancestors, nearest first.
 std::vector<std::string> inheritanceChain(const std::string &path);
-/// Reads settings written as JSON with comments; errors name @p source and the line.
+/// Parses settings written as JSON with comments; errors name @p source and the line.
 Result<SettingsPatch> parseSettings(const std::string &text, const std::string &source);
 /// Parses JSON with comments; errors name @p source and the line.
 Result<nlohmann::json> parseJsonWithComments(const std::string &text, const std::string &source);
