--- a/src/portpaddle/daemon/admin_server.cpp
+++ b/src/portpaddle/daemon/admin_server.cpp
@@ -17,16 +17,16 @@
 namespace {
 
 constexpr std::size_t adminThreads = 16;
-constexpr std::size_t largestProposal = 4 * 1024 * 1024;
-constexpr std::size_t usualLimit = 50;
-constexpr std::size_t largestLimit = 10'000;
+constexpr std::size_t maxProposalBytes = 4 * 1024 * 1024;
+constexpr std::size_t defaultLimit = 50;
+constexpr std::size_t maxLimit = 10'000;
 
 void answer(httplib::Response &response, const nlohmann::json &json)
 {
     response.set_content(json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace), "application/json");
 }
 
-void refuse(httplib::Response &response, const Error &error)
+void respondWithError(httplib::Response &response, const Error &error)
 {
     writeError(error, "", response);
 }
@@ -38,9 +38,9 @@
 
 std::optional<std::uint64_t> numberParameter(const httplib::Request &request, const char *name)
 {
-    constexpr std::size_t longestNumber = 18;
+    constexpr std::size_t maxDigits = 18;
     const std::string text = request.get_param_value(name);
-    if (text.empty() || text.size() > longestNumber || text.find_first_not_of("0123456789") != std::string::npos) {
+    if (text.empty() || text.size() > maxDigits || text.find_first_not_of("0123456789") != std::string::npos) {
         return std::nullopt;
     }
     return std::stoull(text);
@@ -48,11 +48,11 @@
 
 std::size_t limitParameter(const httplib::Request &request)
 {
-    return std::min<std::size_t>(numberParameter(request, "limit").value_or(usualLimit), largestLimit);
+    return std::min<std::size_t>(numberParameter(request, "limit").value_or(defaultLimit), maxLimit);
 }
 
-/// What applies at @p path; for the requests of an organisation to a service also what the service and the place say.
-std::vector<std::string> chainOf(const std::string &path, NodeKind kind, const Place &place)
+/// Returns the paths whose values apply at @p path. For an organisation's service they include the service and the place.
+std::vector<std::string> settingsChainOf(const std::string &path, NodeKind kind, const Place &place)
 {
     if (kind != NodeKind::OrganisationService) {
         return inheritanceChain(path);
@@ -74,15 +74,15 @@
              { "before", patchToJson(change.before) } };
 }
 
-/// Reads the members that all proposals share; an error names what is missing.
+/// Reads the members that all proposals have; an error names the first missing one.
 Result<ChangeProposal> proposalFrom(const nlohmann::json &json, const std::string &from)
 {
     if (!json.is_object()) {
-        return badRequest("an object is expected");
+        return badRequest("the request must be a JSON object");
     }
     for (const char *name : { "author", "reason", "change_id" }) {
         if (!json.contains(name) || !json[name].is_string() || json[name].get_ref<const std::string &>().empty()) {
-            return badRequest(fmt::format("'{}' must be a text that is not empty", name));
+            return badRequest(fmt::format("'{}' must be a non-empty string", name));
         }
     }
     ChangeProposal proposal;
@@ -99,7 +99,7 @@
 } // namespace
 
 AdminServer::AdminServer(Daemon &daemon)
-    : daemon_(daemon), server_("admin", HttpServerLimits{ .maximumThreads = adminThreads, .maximumBodyBytes = largestProposal })
+    : daemon_(daemon), server_("admin", HttpServerLimits{ .maximumThreads = adminThreads, .maximumBodyBytes = maxProposalBytes })
 {
     addRoutes();
 }
@@ -117,7 +117,9 @@
 void AdminServer::addRoutes()
 {
     const auto bind = [this](Route route) {
-        return [this, route](const httplib::Request &request, httplib::Response &response) { guard(request, response, route); };
+        return [this, route](const httplib::Request &request, httplib::Response &response) {
+            handleAuthenticated(request, response, route);
+        };
     };
     httplib::Server &routes = server_.routes();
     routes.Get("/admin/status", bind(&AdminServer::status));
@@ -134,12 +136,12 @@
     routes.Get("/metrics", bind(&AdminServer::metrics));
 }
 
-void AdminServer::guard(const httplib::Request &request, httplib::Response &response, Route route)
+void AdminServer::handleAuthenticated(const httplib::Request &request, httplib::Response &response, Route route)
 {
     const std::string expected = "Bearer " + daemon_.config().operatorKey;
     if (!equalInConstantTime(request.get_header_value("Authorization"), expected)) {
-        return refuse(response,
-                      Error{ ErrorCode::Unauthenticated, "the operators' key is needed", RunState::NotRun, std::nullopt });
+        return respondWithError(
+            response, Error{ ErrorCode::Unauthenticated, "the operator key is required", RunState::NotRun, std::nullopt });
     }
     (this->*route)(request, response);
 }
@@ -216,9 +218,9 @@
     }
     const std::optional<NodeKind> kind = kindOfPath(path);
     if (!kind) {
-        return refuse(response, badRequest(fmt::format("'{}' is not a path of the settings", path)));
+        return respondWithError(response, badRequest(fmt::format("'{}' is not a path of the settings", path)));
     }
-    const std::vector<std::string> chain = chainOf(path, *kind, daemon_.config().place);
+    const std::vector<std::string> chain = settingsChainOf(path, *kind, daemon_.config().place);
     nlohmann::json values = nlohmann::json::array();
     for (const KeyDescription &key : settingsSchema()) {
         if ((key.allowedAt & bitOf(*kind)) == 0) {
@@ -257,7 +259,7 @@
             return errorOf(patch);
         }
         proposal.patch = valueOf(patch);
-        // The patch restores from this version only; what others change meanwhile must not be undone unseen.
+        // The patch was computed against this version: without the check it could undo concurrent changes unnoticed.
         proposal.expectedVersion = present.version();
         return success();
     });
@@ -267,19 +269,19 @@
 {
     const Result<nlohmann::json> parsed = parseJsonWithComments(request.body, "request");
     if (!isOk(parsed)) {
-        return refuse(response, errorOf(parsed));
+        return respondWithError(response, errorOf(parsed));
     }
     Result<ChangeProposal> proposal = proposalFrom(valueOf(parsed), request.remote_addr);
     if (!isOk(proposal)) {
-        return refuse(response, errorOf(proposal));
+        return respondWithError(response, errorOf(proposal));
     }
     const Status filled = fill(valueOf(parsed), valueOf(proposal));
     if (!isOk(filled)) {
-        return refuse(response, errorOf(filled));
+        return respondWithError(response, errorOf(filled));
     }
     const Result<SettingsChange> accepted = daemon_.proposeSettings(valueOf(proposal));
     if (!isOk(accepted)) {
-        return refuse(response, errorOf(accepted));
+        return respondWithError(response, errorOf(accepted));
     }
     answer(response, describeChange(valueOf(accepted)));
 }
@@ -291,7 +293,7 @@
     SettingsLog log = daemon_.settingsLog();
     const Result<std::vector<SettingsChange>> changes = log.after(newest > limit ? newest - limit : 0, limit);
     if (!isOk(changes)) {
-        return refuse(response, errorOf(changes));
+        return respondWithError(response, errorOf(changes));
     }
     nlohmann::json list = nlohmann::json::array();
     for (const SettingsChange &change : valueOf(changes)) {
@@ -304,7 +306,7 @@
 {
     const Result<std::vector<AuditEntry>> entries = daemon_.audit().newest(limitParameter(request));
     if (!isOk(entries)) {
-        return refuse(response, errorOf(entries));
+        return respondWithError(response, errorOf(entries));
     }
     nlohmann::json list = nlohmann::json::array();
     for (const AuditEntry &entry : valueOf(entries)) {
@@ -316,12 +318,13 @@
 void AdminServer::explainRequest(const httplib::Request &request, httplib::Response &response)
 {
     const std::string id = request.get_param_value("request");
-    const std::optional<std::string> text = daemon_.explainAnywhere(id);
+    const std::optional<std::string> text = daemon_.findExplanation(id);
     if (!text) {
-        return refuse(response,
-                      Error{ ErrorCode::NotFound,
-                             "the request is not remembered; it may be too old, its daemon gone, or bound to another region",
-                             RunState::NotRun, std::nullopt });
+        return respondWithError(response,
+                                Error{ ErrorCode::NotFound,
+                                       "there is no trace of the request; it may be too old, its daemon may be gone, or its data "
+                                       "may not leave its region",
+                                       RunState::NotRun, std::nullopt });
     }
     response.set_content(*text, "application/json");
 }
@@ -346,7 +349,7 @@
     const bool valid = json.is_object() && json.contains("author") && json["author"].is_string() && json.contains("reason")
         && json["reason"].is_string();
     if (!valid) {
-        return refuse(response, badRequest("'author' and 'reason' must be given"));
+        return respondWithError(response, badRequest("'author' and 'reason' are required and must be strings"));
     }
     logEvent(LogEvent::DrainOrdered, { { "author", json["author"].get<std::string>() } });
     daemon_.beginDrain();
--- a/src/portpaddle/daemon/admin_server.h
+++ b/src/portpaddle/daemon/admin_server.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The listener for operators, apart from that of callers and with a key of its own.
+/// The HTTP listener for operators, separate from the listener for callers and with its own key.
 #pragma once
 
 #include "portpaddle/base/http_server.h"
@@ -16,7 +16,7 @@
 class Daemon;
 struct ChangeProposal;
 
-/// Serves operators and scrapers.
+/// Serves the admin API and the metrics page.
 class AdminServer
 {
 public:
@@ -27,12 +27,12 @@
 private:
     using Route = void (AdminServer::*)(const httplib::Request &, httplib::Response &);
 
-    /// Puts what one kind of proposal is about into it.
+    /// Fills in the parts of a proposal that depend on its kind.
     using ProposalFiller = std::function<Status(const nlohmann::json &json, ChangeProposal &proposal)>;
 
     void addRoutes();
     void propose(const httplib::Request &request, httplib::Response &response, const ProposalFiller &fill);
-    void guard(const httplib::Request &request, httplib::Response &response, Route route);
+    void handleAuthenticated(const httplib::Request &request, httplib::Response &response, Route route);
     void status(const httplib::Request &request, httplib::Response &response);
     void members(const httplib::Request &request, httplib::Response &response);
     void upstreams(const httplib::Request &request, httplib::Response &response);
--- a/src/portpaddle/daemon/daemon.cpp
+++ b/src/portpaddle/daemon/daemon.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr Millis houseInterval{ 200 };
+constexpr Millis housekeepingInterval{ 200 };
 constexpr Millis vmListInterval{ 15'000 };
 constexpr Millis auditInterval{ 5'000 };
-/// Daemons of a data centre that read settings and the list of VMs for all of it.
+/// The number of daemons of a data centre that read the settings and the list of VMs for all its daemons.
 constexpr unsigned platformReaders = 2;
 
 } // namespace
@@ -46,7 +46,7 @@
               Result<std::optional<std::string>> reply = links_.ask(daemon, "settings_after", std::to_string(after));
               return isOk(reply) ? valueOf(reply) : std::nullopt;
           },
-          [this](std::uint64_t version) { settingsApplied(version); }, config_.settingsWatch })
+          [this](std::uint64_t version) { onSettingsApplied(version); }, config_.settingsWatch })
     , observer_(ObserverParts{ board_, clock,
                                [this](const std::string &upstream) { return membership_.isResponsibleFor(upstream); },
                                [this](const UpstreamReport &report) { membership_.announceUpstream(report); },
@@ -59,7 +59,7 @@
     , linkServer_(LinkServerParts{
           PeerIdentity{ config_.id, config_.place.dataCentre }, config_.clusterKey, board_, clock, metrics_, dispatcher_,
           [this](const PeerIdentity &peer, const std::string &kind, const std::string &argument) {
-              return answerPeer(peer, kind, argument);
+              return answerPeerRequest(peer, kind, argument);
           },
           [this](const std::string &daemon, std::uint64_t version) { settings_.hint(daemon, version); } })
     , entry_(EntryParts{ config_.id, board_, clock, random, metrics_, authenticator_, dispatcher_, config_.maximumStreams })
@@ -71,11 +71,11 @@
 {
     beginDrain();
     {
-        const std::lock_guard lock(houseMutex_);
+        const std::lock_guard lock(housekeepingMutex_);
         stopping_ = true;
-        houseWake_.notify_all();
+        housekeepingWake_.notify_all();
     }
-    housekeeper_.join();
+    housekeepingThread_.join();
     admin_->stop();
     entry_.stop();
     linkServer_.stop();
@@ -116,12 +116,12 @@
     self.gossip = addresses.gossip;
     self.linkAddress = toText(addresses.link);
     self.entryAddress = toText(addresses.entry);
-    // A later start has a higher incarnation; should the clock have gone back, refutation raises it.
+    // A restarted daemon gets a higher incarnation; if the wall clock went back, refuting a suspicion raises the incarnation.
     self.incarnation = static_cast<std::uint64_t>(clock_.wall().count());
     membership_.start(self, config_.seeds);
     settings_.start();
     observer_.start();
-    housekeeper_ = Thread("house", [this] { keepHouse(); });
+    housekeepingThread_ = Thread("house", [this] { runHousekeeping(); });
     logEvent(LogEvent::DaemonStarted,
              { { "daemon", config_.id }, { "entry", self.entryAddress }, { "admin", toText(addresses.admin) } });
     return addresses;
@@ -169,9 +169,10 @@
     return config_;
 }
 
-std::optional<std::string> Daemon::explainAnywhere(const std::string &requestId)
+std::optional<std::string> Daemon::findExplanation(const std::string &requestId)
 {
-    // The id begins with the name of the daemon that took the request in; that one knows the whole way, others their part.
+    // The id begins with the name of the daemon that received the request. Only that daemon knows its whole path, others know
+    // parts.
     const std::size_t dash = requestId.rfind('-');
     const std::string daemon = requestId.substr(0, dash == std::string::npos ? 0 : dash);
     if (!daemon.empty() && daemon != config_.id) {
@@ -180,7 +181,7 @@
             return valueOf(reply);
         }
     }
-    return explainHere(requestId, config_.place.region);
+    return explainLocally(requestId, config_.place.region);
 }
 
 Result<SettingsChange> Daemon::proposeSettings(const ChangeProposal &proposal)
@@ -216,38 +217,39 @@
     return entry_.requestsInProgress();
 }
 
-std::optional<std::string> Daemon::answerPeer(const PeerIdentity &peer, const std::string &kind, const std::string &argument)
+std::optional<std::string> Daemon::answerPeerRequest(const PeerIdentity &peer, const std::string &kind,
+                                                     const std::string &argument)
 {
     if (kind == "settings_after") {
-        constexpr std::size_t longestNumber = 19;
-        const bool numeric = !argument.empty() && argument.size() <= longestNumber
-            && argument.find_first_not_of("0123456789") == std::string::npos;
+        constexpr std::size_t maxDigits = 19;
+        const bool numeric
+            = !argument.empty() && argument.size() <= maxDigits && argument.find_first_not_of("0123456789") == std::string::npos;
         return numeric ? std::optional{ settings_.changesAfter(std::stoull(argument)) } : std::nullopt;
     }
     if (kind == "claim_ran") {
         return claims_.ranHere(argument) ? std::optional<std::string>{ "ran" } : std::nullopt;
     }
     if (kind == "explain") {
-        return explainHere(argument, board_.settings.read()->regionOf(peer.dataCentre));
+        return explainLocally(argument, board_.settings.read()->regionOf(peer.dataCentre));
     }
     return std::nullopt;
 }
 
-std::optional<std::string> Daemon::explainHere(const std::string &requestId, const std::string &askerRegion) const
+std::optional<std::string> Daemon::explainLocally(const std::string &requestId, const std::string &requesterRegion) const
 {
     const std::shared_ptr<const RequestTrace> trace = traces_.find(requestId);
     if (!trace) {
         return std::nullopt;
     }
-    // What is known of a bound request stays where the request itself may be.
+    // The trace of a request may only go to regions that the residency of the request allows.
     const std::shared_ptr<const CompiledSettings> settings = board_.settings.read();
-    if (!settings->policy(trace->organisation, trace->service).allowsRegion(askerRegion)) {
+    if (!settings->policy(trace->organisation, trace->service).allowsRegion(requesterRegion)) {
         return std::nullopt;
     }
     return explain(*trace).dump();
 }
 
-void Daemon::settingsApplied(std::uint64_t version)
+void Daemon::onSettingsApplied(std::uint64_t version)
 {
     membership_.setSettingsVersion(version);
     std::vector<std::string> upstreams;
@@ -259,14 +261,14 @@
     dispatcher_.wakeWaiting();
 }
 
-void Daemon::keepHouse()
+void Daemon::runHousekeeping()
 {
     Millis vmListAt{ 0 };
     Millis auditAt{ 0 };
     while (true) {
         const Millis now = clock_.monotonic();
-        const bool reads = membership_.isAlone() || membership_.isResponsibleFor("vm_list", platformReaders);
-        if (reads && (vmListAt == Millis{ 0 } || now >= vmListAt + vmListInterval)) {
+        const bool readsVmList = membership_.isAlone() || membership_.isResponsibleFor("vm_list", platformReaders);
+        if (readsVmList && (vmListAt == Millis{ 0 } || now >= vmListAt + vmListInterval)) {
             vmListAt = now;
             readVmList();
         }
@@ -275,10 +277,11 @@
             audit_.flush();
         }
         orders_.step();
-        // Ejections end and warming goes on by time alone.
+        // The end of an ejection and the progress of warming depend on time alone, without any event that would trigger a
+        // rebuild.
         snapshots_.rebuild();
-        std::unique_lock lock(houseMutex_);
-        houseWake_.wait_for(lock, houseInterval, [this] { return stopping_; });
+        std::unique_lock lock(housekeepingMutex_);
+        housekeepingWake_.wait_for(lock, housekeepingInterval, [this] { return stopping_; });
         if (stopping_) {
             return;
         }
--- a/src/portpaddle/daemon/daemon.h
+++ b/src/portpaddle/daemon/daemon.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// One daemon: its controllers, listeners and the order in which they start and stop.
+/// A daemon: its controllers and listeners, and the order in which they start and stop.
 #pragma once
 
 #include "portpaddle/base/metrics.h"
@@ -27,7 +27,7 @@
 
 class AdminServer;
 
-/// Addresses in use, which differ from the configured ones where those left the port open.
+/// The addresses on which a daemon listens. A port that is configured as 0 is replaced by the port that was assigned.
 struct DaemonAddresses
 {
     SocketAddress entry;
@@ -44,9 +44,9 @@
     ~Daemon();
 
     Result<DaemonAddresses> start();
-    /// Takes no new work from now on; everybody hears of it.
+    /// Stops accepting new requests and announces to the other daemons that this daemon leaves.
     void beginDrain();
-    /// Drains, finishes every request in progress, then stops.
+    /// Drains the daemon and waits until every request in progress has finished.
     void stopGracefully();
 
     Blackboard &board();
@@ -54,8 +54,9 @@
     SettingsController &settings();
     MembershipController &membership();
     const DaemonConfig &config() const;
-    /// The explanation of a request that this daemon or the daemon that took it in remembers.
-    std::optional<std::string> explainAnywhere(const std::string &requestId);
+    /// Returns the explanation of a request from the daemon that received the request, or else from this one; no value when
+    /// neither can give one.
+    std::optional<std::string> findExplanation(const std::string &requestId);
     Result<SettingsChange> proposeSettings(const ChangeProposal &proposal);
     AuditTrail &audit();
     const OrderController &orders() const;
@@ -63,10 +64,10 @@
     std::size_t requestsInProgress() const;
 
 private:
-    std::optional<std::string> answerPeer(const PeerIdentity &peer, const std::string &kind, const std::string &argument);
-    std::optional<std::string> explainHere(const std::string &requestId, const std::string &askerRegion) const;
-    void settingsApplied(std::uint64_t version);
-    void keepHouse();
+    std::optional<std::string> answerPeerRequest(const PeerIdentity &peer, const std::string &kind, const std::string &argument);
+    std::optional<std::string> explainLocally(const std::string &requestId, const std::string &requesterRegion) const;
+    void onSettingsApplied(std::uint64_t version);
+    void runHousekeeping();
     void readVmList();
 
     DaemonConfig config_;
@@ -91,10 +92,10 @@
     LinkServer linkServer_;
     EntryServer entry_;
     std::unique_ptr<AdminServer> admin_;
-    std::mutex houseMutex_;
-    std::condition_variable houseWake_;
+    std::mutex housekeepingMutex_;
+    std::condition_variable housekeepingWake_;
     bool stopping_ = false;
-    Thread housekeeper_;
+    Thread housekeepingThread_;
 };
 
 } // namespace Portpaddle
--- a/src/portpaddle/daemon/daemon_config.cpp
+++ b/src/portpaddle/daemon/daemon_config.cpp
@@ -29,7 +29,7 @@
                                                          "platform",
                                                          "seeds",
                                                          "maximum_streams" };
-constexpr std::size_t shortestKey = 16;
+constexpr std::size_t minKeyLength = 16;
 constexpr std::size_t maxStreams = 16'384;
 
 Error invalid(const std::string &source, const std::string &message)
@@ -37,7 +37,7 @@
     return Error{ ErrorCode::SettingsInvalid, fmt::format("{}: {}", source, message), RunState::NotRun, std::nullopt };
 }
 
-/// Reads members one after another and keeps the first error.
+/// Reads the members of a configuration and keeps the first error.
 class ConfigReader
 {
 public:
@@ -49,7 +49,7 @@
     std::string text(const std::string &name)
     {
         if (!json_.contains(name) || !json_[name].is_string() || json_[name].get_ref<const std::string &>().empty()) {
-            fail(fmt::format("'{}' must be a text that is not empty", name));
+            fail(fmt::format("'{}' must be a non-empty string", name));
             return {};
         }
         return json_[name].get<std::string>();
@@ -73,8 +73,8 @@
         while (!value.empty() && value.back() == '\n') {
             value.pop_back();
         }
-        if (value.size() < shortestKey) {
-            fail(fmt::format("'{}' must have at least {} characters", name, shortestKey));
+        if (value.size() < minKeyLength) {
+            fail(fmt::format("'{}' must have at least {} characters", name, minKeyLength));
         }
         return value;
     }
@@ -93,16 +93,16 @@
         return result;
     }
 
-    std::size_t count(const std::string &name, std::size_t usual, std::size_t most)
+    std::size_t count(const std::string &name, std::size_t defaultValue, std::size_t maximum)
     {
         if (!json_.contains(name)) {
-            return usual;
+            return defaultValue;
         }
-        const bool valid
-            = json_[name].is_number_unsigned() && json_[name].get<std::size_t>() >= 1 && json_[name].get<std::size_t>() <= most;
+        const bool valid = json_[name].is_number_unsigned() && json_[name].get<std::size_t>() >= 1
+            && json_[name].get<std::size_t>() <= maximum;
         if (!valid) {
-            fail(fmt::format("'{}' must be an integer from 1 to {}", name, most));
-            return usual;
+            fail(fmt::format("'{}' must be an integer from 1 to {}", name, maximum));
+            return defaultValue;
         }
         return json_[name].get<std::size_t>();
     }
@@ -111,14 +111,14 @@
     {
         EmbeddedPlatformConfig result;
         if (!json.contains("settings_file") || !json["settings_file"].is_string()) {
-            fail("'platform.settings_file' must name a file");
+            fail("'platform.settings_file' must be the name of a file");
             return result;
         }
         result.settingsText = contents(json["settings_file"].get<std::string>());
         const nlohmann::json clients = json.value("clients", nlohmann::json::object());
         for (const auto &[key, organisation] : clients.items()) {
             if (!organisation.is_string()) {
-                fail("'platform.clients' must map keys to organisations");
+                fail("'platform.clients' must map bearer keys to names of organisations");
                 continue;
             }
             result.clients[key] = organisation.get<std::string>();
@@ -126,7 +126,7 @@
         return result;
     }
 
-    void refuseUnknownMembers()
+    void rejectUnknownMembers()
     {
         for (const auto &[name, value] : json_.items()) {
             if (std::find(knownMembers.begin(), knownMembers.end(), name) == knownMembers.end()) {
@@ -185,10 +185,10 @@
     }
     const nlohmann::json &json = valueOf(parsed);
     if (!json.is_object()) {
-        return invalid(source, "an object is expected");
+        return invalid(source, "the configuration must be a JSON object");
     }
     ConfigReader reader(json, source, directory);
-    reader.refuseUnknownMembers();
+    reader.rejectUnknownMembers();
     DaemonConfig config;
     config.id = reader.text("id");
     config.place.region = reader.text("region");
--- a/src/portpaddle/daemon/daemon_config.h
+++ b/src/portpaddle/daemon/daemon_config.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What a daemon is told at its start: who and where it is, its addresses and keys.
+/// The start-up configuration of a daemon: its id, location, addresses and keys.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -16,15 +16,15 @@
 
 namespace Portpaddle {
 
-/// The platform inside the process, for trials on one machine.
+/// The configuration of a platform that runs inside the process, for trials on one machine.
 struct EmbeddedPlatformConfig
 {
     std::string settingsText;
-    /// Bearer keys and the organisations they belong to.
+    /// The organisation of each bearer key.
     std::map<std::string, std::string> clients;
 };
 
-/// Everything a daemon needs to start.
+/// The start-up configuration of a daemon.
 struct DaemonConfig
 {
     std::string id;
@@ -40,13 +40,13 @@
     std::vector<SocketAddress> seeds;
     std::size_t maximumStreams = 1024;
     GossipConfig gossipConfig;
-    /// How long one watch of the settings waits; a planned stop waits for it.
+    /// The timeout of one watch of the settings. A planned stop waits for a watch in progress.
     Millis settingsWatch{ 5'000 };
 };
 
-/// Reads a configuration file; every error names the file and the member at fault.
+/// Reads a configuration file; an error names the file and the invalid member.
 Result<DaemonConfig> readDaemonConfig(const std::string &path);
-/// The same from text; @p directory is where the files it names are looked for.
+/// Parses the configuration in @p text. Relative file names in the configuration are resolved against @p directory.
 Result<DaemonConfig> parseDaemonConfig(const std::string &text, const std::string &source, const std::string &directory);
 
 } // namespace Portpaddle
--- a/tests/usage/caller_tests.cpp
+++ b/tests/usage/caller_tests.cpp
@@ -76,7 +76,7 @@
     const httplib::Result whole = client.Post("/v1/chat/completions", chatBody("hello", 5, false), "application/json");
     REQUIRE(whole);
     CHECK(nlohmann::json::parse(whole->body)["choices"][0]["message"]["content"] == EngineStandIn::answerText("hello", 5));
-    const std::optional<std::string> explained = daemons[0]->explainAnywhere(streamed->get_header_value("X-Request-Id"));
+    const std::optional<std::string> explained = daemons[0]->findExplanation(streamed->get_header_value("X-Request-Id"));
     REQUIRE(explained.has_value());
     CHECK(nlohmann::json::parse(*explained)["outcome"] == "complete");
     const httplib::Result models = client.Get("/v1/models");
--- a/tests/usage/fleet_tests.cpp
+++ b/tests/usage/fleet_tests.cpp
@@ -74,7 +74,7 @@
     CHECK(textOf(reply->body) == EngineStandIn::answerText("away", 8));
     CHECK(south->started() == 1);
     // Any VM explains it, here one of another region.
-    const std::optional<std::string> explained = daemons[2]->explainAnywhere(reply->get_header_value("X-Request-Id"));
+    const std::optional<std::string> explained = daemons[2]->findExplanation(reply->get_header_value("X-Request-Id"));
     REQUIRE(explained.has_value());
     CHECK(nlohmann::json::parse(*explained)["steps"].back()["verdict"] == "forward");
 }
@@ -92,8 +92,8 @@
     north->holdAt(std::nullopt);
     waiting.join();
     CHECK(south->started() == 0);
-    CHECK(daemons[0]->explainAnywhere(id).has_value());
-    CHECK(!daemons[2]->explainAnywhere(id).has_value());
+    CHECK(daemons[0]->findExplanation(id).has_value());
+    CHECK(!daemons[2]->findExplanation(id).has_value());
 }
 
 TEST_CASE_FIXTURE(FleetSite, "Fleet, serving region vanishes in the middle, stream goes on at home where it broke")
