--- a/src/portpaddle/base/activity_counter.cpp
+++ b/src/portpaddle/base/activity_counter.cpp
@@ -15,7 +15,7 @@
 {
     const std::lock_guard lock(mutex_);
     if (--active_ == 0) {
-        // Told under the lock: whoever waits may destroy this counter right after.
+        // Notifies while holding the lock: the waiting thread may destroy this counter as soon as it gets the lock.
         idle_.notify_all();
     }
 }
--- a/src/portpaddle/base/activity_counter.h
+++ b/src/portpaddle/base/activity_counter.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Counts work in progress so that a planned stop can wait for it.
+/// Counts operations in progress, so that a planned stop can wait for them.
 #pragma once
 
 #include <condition_variable>
@@ -10,14 +10,14 @@
 
 namespace Portpaddle {
 
-/// Thread-safe.
+/// Counts operations in progress. Thread-safe.
 class ActivityCounter
 {
 public:
     void begin();
     void end();
     std::size_t active() const;
-    /// Waits until nothing is in progress.
+    /// Waits until no operation is in progress.
     void waitUntilIdle();
 
 private:
@@ -26,7 +26,7 @@
     std::size_t active_ = 0;
 };
 
-/// Counts as one piece of work for as long as it lives.
+/// Counts one operation as in progress for the lifetime of the guard.
 class ActivityGuard
 {
 public:
--- a/src/portpaddle/base/boot_clock.cpp
+++ b/src/portpaddle/base/boot_clock.cpp
@@ -7,8 +7,9 @@
 
 namespace Portpaddle {
 
-// std::chrono::steady_clock reads CLOCK_MONOTONIC, which stands still while a VM is suspended: after a pause of seconds a daemon
-// would hold its lease for valid, other daemons for just heard, and hand upstreams time that callers do not have any more.
+// std::chrono::steady_clock reads CLOCK_MONOTONIC, which does not advance while a VM is suspended. After a pause of some seconds
+// a daemon would take an expired lease for valid, believe that it had just heard from the other daemons, and give upstreams more
+// time than callers have left.
 BootClock::time_point BootClock::now() noexcept
 {
     timespec time{};
--- a/src/portpaddle/base/boot_clock.h
+++ b/src/portpaddle/base/boot_clock.h
@@ -1,14 +1,14 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The clock by which leases, ages, deadlines and bounds are counted.
+/// The clock for leases, ages, deadlines and other time limits.
 #pragma once
 
 #include <chrono>
 
 namespace Portpaddle {
 
-/// Never goes back, and counts the time for which the VM was suspended. Meets the standard's requirements of a clock.
+/// A monotonic clock that also advances while the VM is suspended. Meets the Clock requirements of the standard library.
 class BootClock
 {
 public:
--- a/src/portpaddle/base/error.h
+++ b/src/portpaddle/base/error.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Errors as values: a stable code, what it means for the request, and when to come back.
+/// Errors as values: a stable code, whether the request ran, and when to retry.
 #pragma once
 
 #include <chrono>
@@ -14,10 +14,10 @@
 
 using Millis = std::chrono::milliseconds;
 
-/// Whether the caller's request was executed by an upstream.
+/// Tells whether an upstream executed the caller's request.
 enum class RunState { NotRun, MayHaveRun, Ran };
 
-/// Stable codes shown to callers, operators and other daemons.
+/// The error codes, whose names are stable and visible to callers, operators and other daemons.
 enum class ErrorCode {
     BadRequest,
     BodyTooLarge,
@@ -47,22 +47,22 @@
     Internal,
 };
 
-/// The stable text of @p code, for example "limit_reached".
+/// Returns the stable name of @p code, for example "limit_reached".
 std::string_view nameOf(ErrorCode code);
-/// The stable text of @p state: "not_run", "may_have_run" or "ran".
+/// Returns the stable name of @p state: "not_run", "may_have_run" or "ran".
 std::string_view nameOf(RunState state);
-/// The HTTP status with which @p code is answered.
+/// Returns the HTTP status of responses with @p code.
 int httpStatusOf(ErrorCode code);
-/// Finds the code with the given name; Internal when there is none.
+/// Returns the code called @p name; Internal when there is none.
 ErrorCode errorCodeFromName(std::string_view name);
 
-/// A failed outcome.
+/// The description of a failure.
 struct Error
 {
     ErrorCode code = ErrorCode::Internal;
     std::string message;
     RunState run = RunState::NotRun;
-    /// Set where waiting helps.
+    /// The time after which a retry may succeed; no value where waiting does not help.
     std::optional<Millis> retryAfter;
 };
 
@@ -70,10 +70,10 @@
 template<typename T>
 using Result = std::variant<T, Error>;
 
-/// The outcome of something that yields no value.
+/// The outcome of an operation that returns no value.
 using Status = Result<std::monostate>;
 
-/// A successful Status.
+/// Returns a successful Status.
 inline Status success()
 {
     return std::monostate{};
--- a/src/portpaddle/base/file.h
+++ b/src/portpaddle/base/file.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Reading whole files.
+/// Reads whole files.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -10,7 +10,7 @@
 
 namespace Portpaddle {
 
-/// The contents of a file of moderate size.
+/// Returns the contents of the file at @p path, which is read into memory; NotFound when it cannot be read or is empty.
 Result<std::string> readFile(const std::string &path);
 
 } // namespace Portpaddle
--- a/src/portpaddle/base/http_server.cpp
+++ b/src/portpaddle/base/http_server.cpp
@@ -13,24 +13,24 @@
 
 namespace {
 
-/// The library listens with a backlog of five, which drops bursts of connections.
+/// The backlog of the listening socket. The library's backlog of five drops connections in bursts.
 constexpr int listenBacklog = 1024;
-/// Accepted connections that wait for a thread.
-constexpr std::size_t waitingConnections = 1024;
+/// The maximum number of accepted connections that wait for a thread.
+constexpr std::size_t maxQueuedConnections = 1024;
 
 } // namespace
 
-/// Lends a WorkerPool to the HTTP library.
+/// Adapts a WorkerPool to the task queue interface of the HTTP library.
 class HttpServer::TaskQueueAdapter : public httplib::TaskQueue
 {
 public:
-    TaskQueueAdapter(const std::string &name, std::size_t threads) : pool_(name, threads, waitingConnections)
+    TaskQueueAdapter(const std::string &name, std::size_t threads) : pool_(name, threads, maxQueuedConnections)
     {
     }
 
     void enqueue(std::function<void()> task) override
     {
-        // A task that is not taken would leak its connection: with every place taken the acceptor serves it, slowly.
+        // Dropping a task would leak its connection: when the pool is full, the accepting thread runs the task itself.
         if (!pool_.submit(task)) {
             task();
         }
@@ -48,7 +48,7 @@
 HttpServer::HttpServer(std::string name, HttpServerLimits limits)
     : name_(std::move(name)), limits_(limits), server_(std::make_unique<httplib::Server>())
 {
-    bindLimits();
+    applyLimits();
 }
 
 HttpServer::~HttpServer()
@@ -61,7 +61,7 @@
     return *server_;
 }
 
-void HttpServer::bindLimits()
+void HttpServer::applyLimits()
 {
     server_->new_task_queue = [this] { return new TaskQueueAdapter(name_, limits_.maximumThreads); };
     server_->set_payload_max_length(limits_.maximumBodyBytes);
@@ -75,7 +75,7 @@
         setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
         listeningSocket_ = socket;
     });
-    // Route patterns recurse once per character of the path: a long path must not reach them.
+    // Matching a route pattern recurses once per character of the path: a long path would overflow the stack.
     server_->set_pre_routing_handler([this](const httplib::Request &request, httplib::Response &response) {
         if (request.path.size() <= limits_.maximumPathLength) {
             return httplib::Server::HandlerResponse::Unhandled;
--- a/src/portpaddle/base/http_server.h
+++ b/src/portpaddle/base/http_server.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// An HTTP listener with bounds on threads, sizes and times.
+/// An HTTP listener with limits on threads, sizes and times.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -21,7 +21,7 @@
 
 namespace Portpaddle {
 
-/// Bounds of a listener.
+/// The limits of a listener.
 struct HttpServerLimits
 {
     std::size_t maximumThreads = 64;
@@ -33,24 +33,24 @@
     std::size_t keepAliveRequests = 1'000;
 };
 
-/// Owns a listener and its accepting thread.
+/// Owns a listening socket, its accepting thread and its worker threads.
 class HttpServer
 {
 public:
     HttpServer(std::string name, HttpServerLimits limits);
     ~HttpServer();
 
-    /// Routes are added here before start().
+    /// Returns the HTTP library's server, to which routes are added before start().
     httplib::Server &routes();
-    /// Listens at @p address; port 0 takes any free one. The value is the address in use.
+    /// Listens on @p address and returns the address in use; port 0 selects any free port.
     Result<SocketAddress> start(const SocketAddress &address);
-    /// Ends the listener and waits for its requests.
+    /// Closes the listener and waits for the requests in progress.
     void stop();
 
 private:
     class TaskQueueAdapter;
 
-    void bindLimits();
+    void applyLimits();
 
     const std::string name_;
     const HttpServerLimits limits_;
--- a/src/portpaddle/base/log.cpp
+++ b/src/portpaddle/base/log.cpp
@@ -21,76 +21,84 @@
 constexpr std::array<LogEventDescription, 45> catalogue{ {
     { LogEvent::DaemonStarted, "daemon_started", "info", "The daemon listens on all its addresses." },
     { LogEvent::DaemonStopping, "daemon_stopping", "info",
-      "A planned stop began: no new work is taken, work in progress goes on." },
-    { LogEvent::DaemonStopped, "daemon_stopped", "info", "The last request ended and the daemon leaves." },
-    { LogEvent::DaemonStartFailed, "daemon_start_failed", "error", "The daemon could not start; the message says why." },
+      "A planned stop began: no new requests are accepted, those in progress continue." },
+    { LogEvent::DaemonStopped, "daemon_stopped", "info", "The last request ended and the daemon exits." },
+    { LogEvent::DaemonStartFailed, "daemon_start_failed", "error", "The daemon could not start; the message gives the reason." },
     { LogEvent::SettingsAccepted, "settings_accepted", "info", "A change of settings was written to the platform." },
-    { LogEvent::SettingsRejected, "settings_rejected", "warning", "A proposed change failed its check or lost a race." },
+    { LogEvent::SettingsRejected, "settings_rejected", "warning",
+      "A proposed change of settings was invalid or conflicted with another change." },
     { LogEvent::SettingsApplied, "settings_applied", "info", "A newer version of the settings is in force on this daemon." },
     { LogEvent::PlatformUnreachable, "platform_unreachable", "warning",
-      "Calls to the platform fail; the daemon goes on with what it knows." },
+      "Calls to the platform fail; the daemon continues with the data it has." },
     { LogEvent::PlatformReachable, "platform_reachable", "info", "The platform answers again." },
     { LogEvent::FollowSourceLeft, "follow_source_left", "warning",
-      "A daemon that handed on the platform's changes is not asked for a while; the reason says why." },
+      "A daemon that relayed the platform's changes is not used as a source for a while; the reason field says why." },
     { LogEvent::FollowRoleChanged, "follow_role_changed", "info",
-      "This daemon follows the platform itself from now on, or by way of others." },
-    { LogEvent::MemberJoined, "member_joined", "info", "Another daemon became known or returned." },
+      "This daemon now follows the platform directly, or through other daemons." },
+    { LogEvent::MemberJoined, "member_joined", "info", "Another daemon was discovered or returned." },
     { LogEvent::MemberSuspected, "member_suspected", "warning", "Another daemon does not answer probes." },
-    { LogEvent::MemberDied, "member_died", "warning", "A suspected daemon did not refute in time, or said that it left." },
+    { LogEvent::MemberDied, "member_died", "warning",
+      "A suspected daemon did not refute the suspicion in time, or announced that it left." },
     { LogEvent::LinkOpened, "link_opened", "info", "A link between daemons was authenticated." },
     { LogEvent::LinkClosed, "link_closed", "info", "A link between daemons ended." },
     { LogEvent::LinkRejected, "link_rejected", "warning", "A peer failed authentication or broke the protocol." },
-    { LogEvent::RequestRefused, "request_refused", "info", "A request was refused; code and run state say how." },
-    { LogEvent::RequestRetried, "request_retried", "info", "A request that provably did not run is tried elsewhere." },
-    { LogEvent::RequestResumed, "request_resumed", "warning", "A stream broke and goes on at the next token on another engine." },
-    { LogEvent::RequestFailed, "request_failed", "warning", "A request ended without its whole answer." },
-    { LogEvent::RequestServed, "request_served", "info", "The whole answer of an upstream went to the caller." },
-    { LogEvent::RequestAbandoned, "request_abandoned", "info", "The caller left before its answer was whole." },
+    { LogEvent::RequestRefused, "request_refused", "info",
+      "A request was refused; the line gives the error code and the run state." },
+    { LogEvent::RequestRetried, "request_retried", "info", "A request that provably did not run is retried elsewhere." },
+    { LogEvent::RequestResumed, "request_resumed", "warning",
+      "A stream broke and continues at the next token on another engine." },
+    { LogEvent::RequestFailed, "request_failed", "warning", "A request ended without a complete answer." },
+    { LogEvent::RequestServed, "request_served", "info", "The complete answer of an upstream was sent to the caller." },
+    { LogEvent::RequestAbandoned, "request_abandoned", "info", "The caller disconnected before its answer was complete." },
     { LogEvent::RunMoveEnded, "run_move_ended", "info",
-      "An engine was ordered to stop a run and to move its memory; the message says what came of it." },
-    { LogEvent::UpstreamEjected, "upstream_ejected", "warning", "An upstream failed repeatedly and gets no work for a while." },
-    { LogEvent::UpstreamReadmitted, "upstream_readmitted", "info", "An ejected upstream gets work again, slowly." },
+      "An engine was ordered to stop a run and to move its memory; the message gives the outcome." },
+    { LogEvent::UpstreamEjected, "upstream_ejected", "warning",
+      "An upstream failed repeatedly and receives no requests for a while." },
+    { LogEvent::UpstreamReadmitted, "upstream_readmitted", "info", "An ejected upstream receives requests again, few at first." },
     { LogEvent::UpstreamChanged, "upstream_changed", "info", "An upstream registered or changed its record." },
     { LogEvent::UpstreamGone, "upstream_gone", "info", "The record of an upstream was removed." },
     { LogEvent::EvacuationChanged, "evacuation_changed", "info",
-      "An operator empties a data centre of requests, or takes that back." },
+      "An operator ordered the evacuation of a data centre, or revoked the order." },
     { LogEvent::UpstreamEnded, "upstream_ended", "warning",
-      "An upstream ended while it had requests of this daemon; the line tells how many of them may have ended it." },
+      "An upstream ended while it had requests of this daemon; the line gives how many of them may have caused the end." },
     { LogEvent::RequestQuarantined, "request_quarantined", "warning",
-      "Upstreams ended under requests with this fingerprint; such requests are refused from now on, by all daemons." },
+      "Upstreams ended while they ran requests with this fingerprint; all daemons refuse such requests from now on." },
     { LogEvent::QuarantineNotWritten, "quarantine_not_written", "warning",
-      "The platform did not take the record of a held request; it is tried again." },
+      "The platform did not accept the record of a quarantined request; the write is retried." },
     { LogEvent::UpstreamLimitNamed, "upstream_limit_named", "warning",
-      "An upstream said how many requests a second it takes from all daemons, or changed that; own_share is this daemon's." },
+      "An upstream announced or changed the number of requests per second it accepts from all daemons; own_share is this "
+      "daemon's share." },
     { LogEvent::UpstreamLimitEnded, "upstream_limit_ended", "info",
-      "An upstream names no limit any more; it is asked more often step by step." },
+      "An upstream no longer announces a limit; the rate of requests to it is raised step by step." },
     { LogEvent::UpstreamLimitUnreadable, "upstream_limit_unreadable", "warning",
-      "An upstream named a limit that is no rate; what it named before holds." },
+      "An upstream announced a limit that is not a rate; its previous limit stays in force." },
     { LogEvent::UpstreamLimitNotWritten, "upstream_limit_not_written", "warning",
-      "The platform did not take the record of an upstream's limit; it is tried again." },
+      "The platform did not accept the record of an upstream's limit; the write is retried." },
     { LogEvent::UpstreamLeavingHeard, "upstream_leaving_heard", "info",
-      "An upstream said in an answer that it leaves; this daemon sends it no new requests any more." },
+      "An upstream announced in an answer that it is leaving; this daemon sends it no more new requests." },
     { LogEvent::UpstreamBackoffAsked, "upstream_backoff_asked", "info",
-      "An upstream turned a request away and asked not to be sent anything for a time; later answers may ask for longer." },
+      "An upstream refused a request and asked for a backoff; later answers may extend the backoff." },
     { LogEvent::UpstreamNoticeUnreadable, "upstream_notice_unreadable", "warning",
-      "An answer says something of its upstream that cannot be read; what was known before holds." },
-    { LogEvent::ClaimConflict, "claim_conflict", "info", "A non-repeatable call came again with a key already in use." },
+      "An answer carries a notice about its upstream that cannot be parsed; earlier notices stay in force." },
+    { LogEvent::ClaimConflict, "claim_conflict", "info", "A non-repeatable call arrived with a key that is already in use." },
     { LogEvent::DrainOrdered, "drain_ordered", "info", "An operator ordered this daemon to drain." },
     { LogEvent::OrderSent, "order_sent", "info", "A fenced order was sent to an engine." },
-    { LogEvent::OrderWithheld, "order_withheld", "warning", "An order was not sent because the lease could not be proved." },
-    { LogEvent::LogLinesDropped, "log_lines_dropped", "warning", "Lines that went beyond the bound on the volume of the log." },
-    { LogEvent::TaskFailed, "task_failed", "error", "A part of the daemon ended by an exception; what it served was cut off." },
+    { LogEvent::OrderWithheld, "order_withheld", "warning", "An order was not sent because the lease could not be confirmed." },
+    { LogEvent::LogLinesDropped, "log_lines_dropped", "warning",
+      "Lines were dropped because the log exceeded its limit on volume; the line gives their number." },
+    { LogEvent::TaskFailed, "task_failed", "error",
+      "A task of the daemon ended with an exception; the work that it served was aborted." },
 } };
 
-// Lines of one event in a second, before the rest is only counted. Four hundred lines of 300 bytes cost a small VM about one
-// hundredth of its processor.
+// The maximum number of lines of one event per second; further lines are only counted. 400 lines of 300 bytes take about 1 % of
+// the processor of a small VM.
 constexpr unsigned maxLinesPerSecond = 400;
-// A reader that is slow for a second loses nothing.
+// Large enough that a reader that stalls for a second loses no lines.
 constexpr std::size_t maxBufferedBytes = 256 * 1024;
-// A pipe that is writable takes this much without blocking.
-constexpr std::size_t pipeStep = 4'096;
+// A pipe that is reported as writable accepts this many bytes without blocking.
+constexpr std::size_t maxPipeWrite = 4'096;
 
-/// What the process has logged and not written yet.
+/// The lines that are not written yet, and the counters for the rate limit.
 struct LogState
 {
     std::mutex mutex;
@@ -102,7 +110,7 @@
     std::uint64_t dropped = 0;
 };
 
-LogState &state()
+LogState &logState()
 {
     static LogState instance;
     return instance;
@@ -136,12 +144,12 @@
     for (const LogField &field : fields) {
         line[std::string(field.key)] = field.value;
     }
-    // Peers choose some of the values: invalid UTF-8 is replaced rather than thrown at the logger.
+    // Some values come from peers: invalid UTF-8 is replaced, since dump() would otherwise throw an exception.
     return line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
 }
 
-/// Counts the line; false if its event has had its share of this second.
-bool admit(LogState &log, LogEvent event, std::int64_t time)
+/// Counts a line of @p event; returns false when the event has reached its limit for this second.
+bool countLine(LogState &log, LogEvent event, std::int64_t time)
 {
     const std::int64_t second = time / 1000;
     if (second != log.second) {
@@ -155,7 +163,7 @@
     return ++log.linesThisSecond[event] <= maxLinesPerSecond;
 }
 
-/// Writes without blocking where standard output can say that it is ready; the rest stays buffered.
+/// Writes as much of the buffer as standard output accepts without blocking; the rest stays buffered.
 void writeOut(LogState &log)
 {
     while (!log.buffer.empty()) {
@@ -163,7 +171,7 @@
         if (poll(&ready, 1, 0) <= 0 || (ready.revents & POLLOUT) == 0) {
             return;
         }
-        const ssize_t written = write(STDOUT_FILENO, log.buffer.data(), std::min(log.buffer.size(), pipeStep));
+        const ssize_t written = write(STDOUT_FILENO, log.buffer.data(), std::min(log.buffer.size(), maxPipeWrite));
         if (written <= 0) {
             return;
         }
@@ -180,31 +188,31 @@
 
 void setLogSource(std::string source)
 {
-    LogState &log = state();
+    LogState &log = logState();
     const std::lock_guard lock(log.mutex);
     log.source = std::move(source);
 }
 
 void bufferLog()
 {
-    LogState &log = state();
+    LogState &log = logState();
     const std::lock_guard lock(log.mutex);
     log.buffered = true;
 }
 
 void flushLog()
 {
-    LogState &log = state();
+    LogState &log = logState();
     const std::lock_guard lock(log.mutex);
     writeOut(log);
 }
 
 void logEvent(LogEvent event, std::initializer_list<LogField> fields)
 {
-    LogState &log = state();
+    LogState &log = logState();
     const std::lock_guard lock(log.mutex);
     const std::int64_t time = wallMillis();
-    if (!admit(log, event, time) || log.buffer.size() > maxBufferedBytes) {
+    if (!countLine(log, event, time) || log.buffer.size() > maxBufferedBytes) {
         ++log.dropped;
         return;
     }
--- a/src/portpaddle/base/log.h
+++ b/src/portpaddle/base/log.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Structured log: numbered events, one JSON object a line on standard output. Bounded in volume; never blocks.
+/// Structured log: numbered events, one JSON object per line on standard output. Limited in volume; never blocks.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace Portpaddle {
 
-/// The events that may be logged; numbers never change their meaning.
+/// The events that may be logged. The number of an event never changes its meaning.
 enum class LogEvent : std::uint16_t {
     DaemonStarted = 1001,
     DaemonStopping = 1002,
@@ -61,7 +61,7 @@
     TaskFailed = 9002,
 };
 
-/// One row of the event catalogue.
+/// The description of one event in the catalogue.
 struct LogEventDescription
 {
     LogEvent event;
@@ -70,25 +70,25 @@
     std::string_view meaning;
 };
 
-/// Every event that may be logged, in ascending order of its number.
+/// Returns the descriptions of all events, in ascending order of their numbers.
 std::span<const LogEventDescription> logCatalogue();
 
-/// A named value beside an event.
+/// A named value logged with an event.
 struct LogField
 {
     std::string_view key;
     std::string value;
 };
 
-/// Writes one event; never write keys or bodies of requests here.
+/// Logs one event. The fields must not hold the keys or bodies of requests.
 void logEvent(LogEvent event, std::initializer_list<LogField> fields = {});
 
-/// Names the writer in every line that follows.
+/// Sets the value of the "source" field of all later lines.
 void setLogSource(std::string source);
 
-/// From now on lines wait in memory until flushLog() is called, which a daemon does several times a second.
+/// Keeps later lines in memory until flushLog() is called, which a daemon does several times a second.
 void bufferLog();
-/// Writes what waits as far as standard output takes it without blocking.
+/// Writes as many buffered lines as standard output accepts without blocking.
 void flushLog();
 
 } // namespace Portpaddle
--- a/src/portpaddle/base/metrics.cpp
+++ b/src/portpaddle/base/metrics.cpp
@@ -22,41 +22,44 @@
 
 constexpr std::array<MetricDescription, static_cast<std::size_t>(Counter::Count)> counters{ {
     { "portpaddle_requests_total", "Requests that callers sent to this daemon." },
-    { "portpaddle_refusals_total", "Requests refused as not run." },
+    { "portpaddle_refusals_total", "Requests refused with the run state not_run." },
     { "portpaddle_retries_total", "Attempts after the first of a request." },
-    { "portpaddle_resumes_total", "Streams that went on at another engine after a break." },
+    { "portpaddle_resumes_total", "Streams continued on another engine after they broke." },
     { "portpaddle_sent_away_total", "Requests forwarded to another data centre." },
     { "portpaddle_received_from_peers_total", "Requests that other data centres forwarded to this daemon." },
-    { "portpaddle_tokens_streamed_total", "Tokens passed on to callers." },
+    { "portpaddle_tokens_streamed_total", "Tokens forwarded to callers." },
     { "portpaddle_claims_granted_total", "Claims acquired for calls that may not be repeated." },
-    { "portpaddle_claims_refused_total", "Calls refused for want of a claim." },
-    { "portpaddle_platform_reads_total", "Reads asked of the platform." },
-    { "portpaddle_platform_writes_total", "Writes asked of the platform." },
-    { "portpaddle_platform_watches_total", "Watches asked of the platform." },
+    { "portpaddle_claims_refused_total", "Calls refused because no claim could be acquired." },
+    { "portpaddle_platform_reads_total", "Read operations sent to the platform." },
+    { "portpaddle_platform_writes_total", "Write operations sent to the platform." },
+    { "portpaddle_platform_watches_total", "Watch operations sent to the platform." },
     { "portpaddle_gossip_messages_sent_total", "Membership datagrams sent." },
     { "portpaddle_gossip_sent_bytes_total", "Bytes of membership datagrams sent." },
     { "portpaddle_gossip_received_bytes_total", "Bytes of membership datagrams received." },
     { "portpaddle_link_frames_sent_total", "Frames sent on links between daemons." },
     { "portpaddle_link_sent_bytes_total", "Bytes sent on links between daemons." },
     { "portpaddle_link_received_bytes_total", "Bytes received on links between daemons." },
-    { "portpaddle_peers_rejected_total", "Datagrams and links refused for a wrong code or a broken protocol." },
+    { "portpaddle_peers_rejected_total",
+      "Datagrams and links rejected because of a wrong authentication code or a protocol violation." },
     { "portpaddle_upstreams_ended_total", "Upstreams that this daemon found to have ended." },
-    { "portpaddle_requests_quarantined_total", "Requests that this daemon held because upstreams ended under them." },
-    { "portpaddle_quarantine_refusals_total", "Requests refused because they are held." },
-    { "portpaddle_repeats_paid_total", "Repeats that the credit of this daemon paid for." },
-    { "portpaddle_repeats_moved_total", "Runs that went on elsewhere; they are charged whatever is left of the retry budget." },
-    { "portpaddle_repeats_unseen_total", "Attempts after one that no upstream saw; they cost no budget." },
-    { "portpaddle_repeats_denied_total", "Repeats not made because the retry budget was spent." },
-    { "portpaddle_upstream_limits_named_total", "Times that an upstream named a limit or changed it, as this daemon learned." },
+    { "portpaddle_requests_quarantined_total",
+      "Requests that this daemon quarantined because upstreams ended while they ran them." },
+    { "portpaddle_quarantine_refusals_total", "Requests refused because they are quarantined." },
+    { "portpaddle_repeats_paid_total", "Retries paid for with the retry credit of this daemon." },
+    { "portpaddle_repeats_moved_total", "Runs continued elsewhere; they are charged to the retry budget even when it is spent." },
+    { "portpaddle_repeats_unseen_total",
+      "Attempts after one that reached no upstream; they are not charged to the retry budget." },
+    { "portpaddle_repeats_denied_total", "Retries not made because the retry budget was spent." },
+    { "portpaddle_upstream_limits_named_total", "Times that this daemon learned of a new or changed limit of an upstream." },
     { "portpaddle_upstream_limits_ended_total", "Times that the limit of an upstream ended." },
-    { "portpaddle_upstream_limits_unreadable_total", "Answers whose limit could not be read." },
-    { "portpaddle_held_back_by_limits_total", "Requests refused because the upstreams that could run them named limits." },
-    { "portpaddle_upstream_leavings_heard_total", "Upstreams that said in an answer that they leave." },
-    { "portpaddle_upstream_backoffs_asked_total", "Answers in which an upstream asked not to be sent anything for a time." },
-    { "portpaddle_upstream_notices_unreadable_total",
-      "Answers in which an upstream said something of itself that could not be read." },
+    { "portpaddle_upstream_limits_unreadable_total", "Answers with a limit that could not be parsed." },
+    { "portpaddle_held_back_by_limits_total",
+      "Requests refused because of the limits announced by the upstreams that could run them." },
+    { "portpaddle_upstream_leavings_heard_total", "Upstreams that announced in an answer that they are leaving." },
+    { "portpaddle_upstream_backoffs_asked_total", "Answers in which an upstream asked for a backoff." },
+    { "portpaddle_upstream_notices_unreadable_total", "Answers with a notice about their upstream that could not be parsed." },
     { "portpaddle_sent_past_notice_total",
-      "Requests sent to upstreams that had said that they leave, or within the time that they had asked for." },
+      "Requests sent to upstreams that had announced that they are leaving, or within a backoff that they had asked for." },
 } };
 
 constexpr std::array<MetricDescription, static_cast<std::size_t>(Timer::Count)> timers{ {
@@ -64,13 +67,13 @@
     { "portpaddle_request_ms", "Time from arrival to the end of the answer, in ms." },
     { "portpaddle_decision_ms", "Time to decide where a request runs, in ms." },
     { "portpaddle_queue_wait_ms", "Time that a request waited in this daemon, in ms." },
-    { "portpaddle_prediction_error_ms", "How far the predicted time to the first token was off, either way, in ms." },
-    { "portpaddle_repeat_arrival_ms", "Time from the payment for a repeat until its upstream was heard, in ms." },
+    { "portpaddle_prediction_error_ms", "Absolute error of the predicted time to the first token, in ms." },
+    { "portpaddle_repeat_arrival_ms", "Time from the payment for a retry until its upstream was heard from, in ms." },
 } };
 
 } // namespace
 
-/// Count, sum and running estimates of quantiles; they need no stored samples.
+/// Count, sum and quantiles of the observed values. The quantiles are running estimates, which need no stored samples.
 class Metrics::Distribution
 {
 public:
--- a/src/portpaddle/base/metrics.h
+++ b/src/portpaddle/base/metrics.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Counters and distributions, written in the text format that common scrapers read.
+/// Counters and distributions, exported in the Prometheus text format.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 namespace Portpaddle {
 
-/// What is counted.
+/// The counters; their names are in counterCatalogue().
 enum class Counter {
     Requests,
     Refusals,
@@ -53,10 +53,10 @@
     Count,
 };
 
-/// What is measured as a distribution.
+/// The durations measured as distributions, in milliseconds; their names are in timerCatalogue().
 enum class Timer { FirstByte, WholeRequest, Decision, QueueWait, PredictionError, RepeatArrival, Count };
 
-/// One row of the metrics page.
+/// The name and the help text of one metric.
 struct MetricDescription
 {
     std::string_view name;
@@ -66,7 +66,7 @@
 std::span<const MetricDescription> counterCatalogue();
 std::span<const MetricDescription> timerCatalogue();
 
-/// Thread-safe.
+/// The values of all metrics of a daemon. Thread-safe.
 class Metrics
 {
 public:
--- a/src/portpaddle/base/name_table.h
+++ b/src/portpaddle/base/name_table.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Tables that give each value of an enum its stable name.
+/// Tables of the stable names of enumerators.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 
 namespace Portpaddle {
 
-/// Names of the enumerators of @p Enum, in order, beginning with zero.
+/// The names of the enumerators of @p Enum, whose values must be consecutive from zero.
 template<typename Enum, std::size_t Count>
 struct NameTable
 {
--- a/src/portpaddle/base/rcu_cell.h
+++ b/src/portpaddle/base/rcu_cell.h
@@ -12,7 +12,7 @@
 
 namespace Portpaddle {
 
-/// Holds an immutable value; readers never wait, a writer waits until no reader can see what it replaced.
+/// Holds an immutable value. Readers never block; a writer blocks until no reader can access the replaced value.
 template<typename T>
 class RcuCell
 {
@@ -29,7 +29,7 @@
         delete current_.load();
     }
 
-    /// The value of this moment; it stays valid for as long as the caller holds it.
+    /// Returns the current value, which stays valid for as long as the caller holds the pointer.
     std::shared_ptr<const T> read() const
     {
         urcu_bp_read_lock();
@@ -38,7 +38,7 @@
         return value;
     }
 
-    /// Replaces the value; writers are serialised.
+    /// Replaces the value. Concurrent writers are serialised.
     void publish(std::shared_ptr<const T> value)
     {
         auto *replacement = new Holder{ std::move(value) };
--- a/src/portpaddle/base/socket_address.cpp
+++ b/src/portpaddle/base/socket_address.cpp
@@ -12,7 +12,7 @@
 
 Result<SocketAddress> parseSocketAddress(const std::string &text)
 {
-    const Error error{ ErrorCode::BadRequest, fmt::format("'{}' is not an IP number with a port", text), RunState::NotRun,
+    const Error error{ ErrorCode::BadRequest, fmt::format("'{}' is not an IPv4 address with a port", text), RunState::NotRun,
                        std::nullopt };
     const std::size_t colon = text.rfind(':');
     if (colon == std::string::npos) {
--- a/src/portpaddle/base/socket_address.h
+++ b/src/portpaddle/base/socket_address.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// IP numbers with ports.
+/// IPv4 addresses with ports.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -22,7 +22,7 @@
     bool operator==(const SocketAddress &) const = default;
 };
 
-/// Reads "10.0.0.1:8000"; names of hosts are refused.
+/// Parses a text like "10.0.0.1:8000"; host names are rejected.
 Result<SocketAddress> parseSocketAddress(const std::string &text);
 std::string toText(const SocketAddress &address);
 sockaddr_in toNative(const SocketAddress &address);
--- a/src/portpaddle/base/system_clock.h
+++ b/src/portpaddle/base/system_clock.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The machine's clock and a seeded random source.
+/// The system clock and a seeded random source.
 #pragma once
 
 #include "portpaddle/interfaces/clock.h"
@@ -12,7 +12,7 @@
 
 namespace Portpaddle {
 
-/// Reads the machine's clocks.
+/// Reads the clocks of the operating system.
 class SystemClock : public Clock
 {
 public:
@@ -20,10 +20,10 @@
     Millis wall() const override;
 };
 
-/// A Mersenne Twister; safe to share between threads.
-/// A seed that nobody can guess, from the operating system.
+/// Returns an unpredictable seed from the operating system.
 std::uint64_t freshSeed();
 
+/// A Mersenne Twister. Thread-safe.
 class SeededRandom : public RandomSource
 {
 public:
--- a/src/portpaddle/base/text.h
+++ b/src/portpaddle/base/text.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Small operations on text.
+/// Text utilities.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace Portpaddle {
 
-/// @p text with ASCII letters in lower case, as names of headers are compared.
+/// Returns @p text with ASCII letters in lower case, for comparing header names.
 inline std::string lowerCase(std::string text)
 {
     std::transform(text.begin(), text.end(), text.begin(),
--- a/src/portpaddle/base/thread.cpp
+++ b/src/portpaddle/base/thread.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-struct Start
+struct ThreadStart
 {
     std::string name;
     std::function<void()> body;
 };
 
-/// The kernel keeps fifteen characters of a thread's name.
-constexpr std::size_t longestThreadName = 15;
+/// The kernel limits the name of a thread to 15 characters.
+constexpr std::size_t maxThreadNameLength = 15;
 
 void *runThread(void *argument)
 {
-    const std::unique_ptr<Start> start(static_cast<Start *>(argument));
-    pthread_setname_np(pthread_self(), start->name.substr(0, longestThreadName).c_str());
+    const std::unique_ptr<ThreadStart> start(static_cast<ThreadStart *>(argument));
+    pthread_setname_np(pthread_self(), start->name.substr(0, maxThreadNameLength).c_str());
     start->body();
     return nullptr;
 }
@@ -33,7 +33,7 @@
 
 Thread::Thread(const std::string &name, std::function<void()> body, std::size_t stackBytes)
 {
-    auto start = std::make_unique<Start>(Start{ name, std::move(body) });
+    auto start = std::make_unique<ThreadStart>(ThreadStart{ name, std::move(body) });
     pthread_attr_t attributes;
     pthread_attr_init(&attributes);
     pthread_attr_setstacksize(&attributes, stackBytes);
--- a/src/portpaddle/base/thread.h
+++ b/src/portpaddle/base/thread.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// POSIX threads with a name and a stated stack size.
+/// POSIX threads with a name and an explicit stack size.
 #pragma once
 
 #include <cstddef>
@@ -12,10 +12,10 @@
 
 namespace Portpaddle {
 
-/// Stacks are address space until touched; HTTP route matching needs the most.
+/// The stack size of threads in bytes, dimensioned for HTTP route matching. Untouched stack pages take no memory.
 inline constexpr std::size_t defaultStackBytes = 512 * 1024;
 
-/// A joinable thread; joins when destroyed.
+/// A thread that is joined when destroyed.
 class Thread
 {
 public:
--- a/src/portpaddle/base/worker_pool.cpp
+++ b/src/portpaddle/base/worker_pool.cpp
@@ -26,7 +26,7 @@
     }
     if (needsThread && threads_.size() < maximumThreads_) {
         try {
-            threads_.emplace_back(name_, [this] { work(); });
+            threads_.emplace_back(name_, [this] { runTasks(); });
         } catch (const std::system_error &) {
             if (threads_.empty()) {
                 return false;
@@ -58,7 +58,7 @@
     return threads_.size();
 }
 
-void WorkerPool::work()
+void WorkerPool::runTasks()
 {
     std::unique_lock lock(mutex_);
     while (true) {
--- a/src/portpaddle/base/worker_pool.h
+++ b/src/portpaddle/base/worker_pool.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A bounded pool of threads that grows with demand.
+/// A bounded thread pool that grows on demand.
 #pragma once
 
 #include "portpaddle/base/thread.h"
@@ -15,21 +15,21 @@
 
 namespace Portpaddle {
 
-/// Runs tasks on up to a stated number of threads; further tasks are queued up to a bound, then refused.
+/// Runs tasks on a limited number of threads. Further tasks are queued up to a limit, and rejected beyond that limit.
 class WorkerPool
 {
 public:
     WorkerPool(std::string name, std::size_t maximumThreads, std::size_t maximumQueued);
     ~WorkerPool();
 
-    /// False when the pool is full or stopping; the task was not taken then.
+    /// Queues @p task; returns false and drops the task when the pool is full or stopping.
     bool submit(std::function<void()> task);
-    /// Finishes what was taken and ends all threads.
+    /// Finishes all accepted tasks and joins all threads.
     void stop();
     std::size_t threads() const;
 
 private:
-    void work();
+    void runTasks();
 
     const std::string name_;
     const std::size_t maximumThreads_;
