--- a/src/portpaddle/net/asio.h
+++ b/src/portpaddle/net/asio.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The parts of Asio that the event-driven transport uses, bound to one executor type.
+/// The Asio types used by the event-driven transport, bound to one executor type.
 #pragma once
 
 // Asio 1.74 relies on std::exchange without including it; g++ 12 needs this line first.
@@ -24,15 +24,15 @@
 
 namespace Portpaddle {
 
-/// How long a loop sleeps for its next timer.
+/// Wait traits that limit how long an event loop sleeps until its next timer.
 struct BootClockWaits
 {
-    /// A loop sleeps by a clock that stands still while the VM is suspended: it looks at its timers this often.
-    static constexpr std::chrono::milliseconds longestSleep{ 100 };
+    /// An event loop sleeps by a clock that does not advance while the VM is suspended, so it must check its timers this often.
+    static constexpr std::chrono::milliseconds maxSleep{ 100 };
 
     static BootClock::duration to_wait_duration(const BootClock::duration &left)
     {
-        return std::min<BootClock::duration>(left, longestSleep);
+        return std::min<BootClock::duration>(left, maxSleep);
     }
     static BootClock::duration to_wait_duration(const BootClock::time_point &until)
     {
@@ -45,14 +45,14 @@
 using SteadyTimer = boost::asio::basic_waitable_timer<BootClock, BootClockWaits, Executor>;
 using NetError = boost::system::error_code;
 
-/// A coroutine on an event loop.
+/// A coroutine that runs on an event loop.
 template<typename T>
 using Task = boost::asio::awaitable<T, Executor>;
 
-/// Completion token that resumes the awaiting coroutine.
+/// The completion token that resumes the awaiting coroutine and throws on an error.
 inline constexpr boost::asio::use_awaitable_t<Executor> awaiting;
 
-/// Like awaiting, with the outcome in @p error instead of an exception.
+/// Returns a completion token like awaiting that stores the error in @p error instead of throwing.
 inline auto awaitingInto(NetError &error)
 {
     return boost::asio::redirect_error(awaiting, error);
--- a/src/portpaddle/net/beast_text.h
+++ b/src/portpaddle/net/beast_text.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Beast's views of text as the standard library's.
+/// Converts Beast's string views to the standard library's.
 #pragma once
 
 #include <boost/beast/core/string_type.hpp>
@@ -10,7 +10,7 @@
 
 namespace Portpaddle {
 
-/// The same characters; valid as long as @p text is.
+/// Returns a view of the same characters, valid as long as @p text is.
 inline std::string_view viewOf(boost::beast::string_view text)
 {
     return { text.data(), text.size() };
--- a/src/portpaddle/net/endpoint.h
+++ b/src/portpaddle/net/endpoint.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Texts of the form IP:PORT as endpoints.
+/// Parses texts of the form IP:PORT.
 #pragma once
 
 #include "portpaddle/net/asio.h"
@@ -11,7 +11,7 @@
 
 namespace Portpaddle {
 
-/// No value unless @p text is an IPv4 address, a colon and a port.
+/// Returns the endpoint that @p text denotes; no value unless the text is an IPv4 address, a colon and a port.
 std::optional<boost::asio::ip::tcp::endpoint> parseEndpoint(const std::string &text);
 
 } // namespace Portpaddle
--- a/src/portpaddle/net/http_status.h
+++ b/src/portpaddle/net/http_status.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The HTTP statuses that the gateway gives or reads.
+/// The HTTP status codes that the gateway sends or evaluates.
 #pragma once
 
 namespace Portpaddle::HttpStatus {
--- a/src/portpaddle/net/socket_options.cpp
+++ b/src/portpaddle/net/socket_options.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-// A peer behind a cut sends no reset. Round trips are under 120 ms, lost packets are sent again within a second: three seconds
-// without an acknowledgement mean that nobody is there.
-constexpr int unacknowledgedMs = 3000;
+// A peer behind a network partition sends no reset. Round trips take less than 120 ms and lost packets are retransmitted within a
+// second, so a peer that acknowledges nothing for three seconds is taken as unreachable.
+constexpr int maxUnacknowledgedMs = 3000;
 constexpr int keepAliveIdleSeconds = 1;
 constexpr int keepAliveIntervalSeconds = 1;
 constexpr int keepAliveProbes = 3;
 
 void setOption(int descriptor, int level, int name, int value)
 {
-    // A system that lacks one of the options notices dead peers later; nothing else changes.
+    // On a system without one of the options dead peers are only detected later, so errors are ignored.
     (void)setsockopt(descriptor, level, name, &value, sizeof value);
 }
 
@@ -33,7 +33,7 @@
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveIdleSeconds);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveIntervalSeconds);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, keepAliveProbes);
-    setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledgedMs);
+    setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, maxUnacknowledgedMs);
 }
 
 } // namespace Portpaddle
--- a/src/portpaddle/net/socket_options.h
+++ b/src/portpaddle/net/socket_options.h
@@ -1,12 +1,13 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Options of every TCP connection, so that a silent peer is noticed.
+/// Options set on every TCP connection, so that an unreachable peer is detected.
 #pragma once
 
 namespace Portpaddle {
 
-/// Sets no delay, short keep-alive probes and a bound on unacknowledged data; failures are ignored, the connection still works.
+/// Disables Nagle's algorithm, enables frequent keep-alive probes and limits how long sent data may stay unacknowledged. Ignores
+/// errors, since the connection works without the options.
 void applySocketOptions(int descriptor);
 
 } // namespace Portpaddle
--- a/src/portpaddle/net/spawn.h
+++ b/src/portpaddle/net/spawn.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Coroutines that nobody awaits.
+/// Starts coroutines that are not awaited.
 #pragma once
 
 #include "portpaddle/net/asio.h"
@@ -14,7 +14,8 @@
 /// Logs that the coroutine called @p name ended with an exception.
 void logTaskFailure(std::string_view name, const std::exception_ptr &exception);
 
-/// Runs the coroutine that @p makeTask gives; an exception that leaves it is logged under @p name, a literal.
+/// Starts the coroutine that @p makeTask returns and logs an exception that leaves the coroutine. @p name must be a literal, as
+/// only a view of the name is kept.
 template<typename MakeTask>
 void spawnTask(Executor executor, std::string_view name, MakeTask makeTask)
 {
