--- a/src/portpaddle/interfaces/answer_sink.h
+++ b/src/portpaddle/interfaces/answer_sink.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Where the answer to a request goes.
+/// The receiver of the answer to a request.
 #pragma once
 
 #include <functional>
@@ -11,21 +11,21 @@
 
 namespace Portpaddle {
 
-/// One header field of a request or an answer.
+/// A header field of a request or an answer.
 struct HeaderField
 {
     std::string name;
     std::string value;
 };
 
-/// Status and headers of an answer.
+/// The status and the headers of an answer.
 struct AnswerHead
 {
     int status = 200;
     std::vector<HeaderField> headers;
 };
 
-/// Receives one answer. Calls may block while the receiver is slow; false means that it is gone.
+/// Receives one answer. Calls block while the receiver is slow; head() and data() return false when the receiver is gone.
 class AnswerSink
 {
 public:
@@ -33,7 +33,7 @@
     virtual bool head(const AnswerHead &head) = 0;
     virtual bool data(std::string_view bytes) = 0;
     virtual bool receiverGone() const = 0;
-    /// Calls @p hook once if the receiver goes away; an empty hook removes the one set. Removal waits for a running hook.
+    /// Calls @p hook once when the receiver disconnects. An empty hook removes the current one and waits until it has returned.
     virtual void onReceiverGone(std::function<void()> hook) = 0;
 };
 
--- a/src/portpaddle/interfaces/attempt_target.h
+++ b/src/portpaddle/interfaces/attempt_target.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Whatever can be asked to answer a call: an upstream or a daemon of another data centre.
+/// The targets of an attempt to run a call: upstreams and daemons of other data centres.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -13,7 +13,7 @@
 
 namespace Portpaddle {
 
-/// A request on its way through the system.
+/// A request as it is sent to upstreams and forwarded between daemons.
 struct Call
 {
     RequestFacts facts;
@@ -21,32 +21,32 @@
     std::string path;
     std::vector<HeaderField> headers;
     std::string body;
-    /// The caller reads the answer as a stream of tokens.
+    /// Whether the caller reads the answer as a stream of tokens.
     bool streamed = false;
-    /// The settings forbid running it twice.
+    /// Whether the settings forbid running the call twice.
     bool atMostOnce = false;
-    /// The right to run it was claimed by the daemon that forwarded it.
+    /// Whether the daemon that forwarded the call has acquired the claim to run it.
     bool claimed = false;
-    /// Whether it may be sent again when it is not known whether it ran.
+    /// Whether the call may be sent again when it is not known whether it ran.
     bool retryable = false;
     std::string idempotencyKey;
-    /// Tokens that the caller already has.
+    /// The number of tokens that the caller has already received.
     unsigned resumeFrom = 0;
 };
 
 /// How an attempt ended.
 enum class AttemptEnd {
-    /// The whole answer reached the sink.
+    /// The complete answer reached the sink.
     Complete,
-    /// Provably not run; nothing reached the sink.
+    /// The call provably did not run, and nothing reached the sink.
     NotRun,
-    /// The target may have run it; the answer is missing or cut.
+    /// The target may have run the call; the answer is missing or incomplete.
     Broken,
-    /// The receiver went away.
+    /// The receiver disconnected.
     ReceiverGone,
 };
 
-/// The outcome of an attempt with the error that explains it.
+/// The outcome of an attempt, with the error unless the attempt is complete.
 struct AttemptResult
 {
     AttemptEnd end = AttemptEnd::Complete;
--- a/src/portpaddle/interfaces/clock.h
+++ b/src/portpaddle/interfaces/clock.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Time as the system sees it.
+/// The interface to the system's clocks.
 #pragma once
 
 #include "portpaddle/base/boot_clock.h"
@@ -18,14 +18,14 @@
     return std::chrono::duration<double>(time).count();
 }
 
-/// A source of time; tests move it by hand.
+/// A source of time, which tests replace by a manual clock.
 class Clock
 {
 public:
     virtual ~Clock() = default;
-    /// Never goes back; unrelated to the calendar.
+    /// Returns a time that never goes back and is unrelated to the calendar.
     virtual Millis monotonic() const = 0;
-    /// Milliseconds since the epoch; may jump.
+    /// Returns the milliseconds since the Unix epoch; may jump in both directions.
     virtual Millis wall() const = 0;
 };
 
--- a/src/portpaddle/interfaces/platform.h
+++ b/src/portpaddle/interfaces/platform.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// What the platform's services offer: a key-value store, the list of VMs and the directory of clients.
+/// The services of the platform: a key-value store, the list of VMs and the directory of clients.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -13,7 +13,7 @@
 
 namespace Portpaddle {
 
-/// One stored value with the revision that wrote it; revisions rise over the whole store.
+/// A stored value with the revision of its last write. Revisions increase over the whole store.
 struct KeyValue
 {
     std::string key;
@@ -21,38 +21,39 @@
     std::uint64_t revision = 0;
 };
 
-/// A lease that was granted; keys written under it vanish when it lapses.
+/// A granted lease. Keys written under a lease are removed when the lease expires.
 struct LeaseGrant
 {
     std::uint64_t id = 0;
     Millis timeToLive{ 0 };
 };
 
-/// Writing with this revision demands that the key does not exist.
+/// The expected revision of a key that must not exist.
 inline constexpr std::uint64_t mustBeAbsent = 0;
-/// Writing under no lease.
+/// The lease id of keys that are bound to no lease.
 inline constexpr std::uint64_t noLease = 0;
 
-/// The key-value store. A write whose reply was lost fails with RunState::MayHaveRun; read back to learn its fate.
+/// The key-value store. A write whose reply was lost fails with RunState::MayHaveRun; reading the key shows whether it was
+/// applied.
 class KeyValueStore
 {
 public:
     virtual ~KeyValueStore() = default;
     virtual Result<std::optional<KeyValue>> get(const std::string &key) = 0;
-    /// Compare-and-swap; VersionConflict when the key's revision is not @p expectedRevision.
+    /// Writes if the key's revision is @p expectedRevision, else VersionConflict. Returns the new revision.
     virtual Result<std::uint64_t> put(const std::string &key, const std::string &value, std::uint64_t expectedRevision,
                                       std::uint64_t lease = noLease)
         = 0;
     virtual Status remove(const std::string &key, std::uint64_t expectedRevision) = 0;
-    /// Keys beginning with @p prefix and greater than @p after, in order, at most @p limit.
+    /// Returns the keys that begin with @p prefix and are greater than @p after, in order, at most @p limit of them.
     virtual Result<std::vector<KeyValue>> list(const std::string &prefix, const std::string &after, std::size_t limit) = 0;
-    /// Waits until a key beginning with @p prefix has a revision above @p afterRevision, or until @p timeout.
+    /// Waits up to @p timeout until a key that begins with @p prefix has a revision above @p afterRevision.
     virtual Result<std::vector<KeyValue>> watch(const std::string &prefix, std::uint64_t afterRevision, Millis timeout) = 0;
     virtual Result<LeaseGrant> grantLease(Millis timeToLive) = 0;
     virtual Status keepAlive(std::uint64_t lease) = 0;
 };
 
-/// One VM as the platform lists it; the list lags behind.
+/// A VM in the platform's list.
 struct VmEntry
 {
     std::string id;
@@ -61,7 +62,7 @@
     bool leaving = false;
 };
 
-/// The lagging list of VMs.
+/// The list of VMs, which lags behind the actual state.
 class VmList
 {
 public:
@@ -69,22 +70,22 @@
     virtual Result<std::vector<VmEntry>> vms() = 0;
 };
 
-/// A client as the directory knows it.
+/// The record of a client in the directory.
 struct ClientRecord
 {
     std::string organisation;
 };
 
-/// The directory of clients, looked up by the SHA-256 digest of a bearer key so that keys are never sent on.
+/// The directory of clients. Clients are looked up by the SHA-256 digest of their bearer key, so that keys are never forwarded.
 class ClientDirectory
 {
 public:
     virtual ~ClientDirectory() = default;
-    /// No value when the directory does not know the key.
+    /// Returns the client with @p keyDigest; no value when the key is unknown.
     virtual Result<std::optional<ClientRecord>> find(const std::string &keyDigest) = 0;
 };
 
-/// All that the platform offers, behind one connection.
+/// All services of the platform behind one connection.
 class Platform : public KeyValueStore, public VmList, public ClientDirectory
 {
 };
--- a/src/portpaddle/interfaces/watched_store.h
+++ b/src/portpaddle/interfaces/watched_store.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A key-value store whose changes can be followed.
+/// A key-value store whose changes can be watched.
 #pragma once
 
 #include "portpaddle/interfaces/clock.h"
@@ -13,21 +13,21 @@
 
 namespace Portpaddle {
 
-/// All keys under a prefix; a read after another may see later ones.
+/// All keys under a prefix. The keys may come from several reads, of which later ones may see later revisions.
 struct KeyListing
 {
     std::vector<KeyValue> items;
-    /// Follow changes from here.
+    /// The revision after which changes must be followed.
     std::uint64_t revision = 0;
-    /// When the store said so.
+    /// The time at which the store confirmed this state.
     SteadyTime confirmedAt{};
 };
 
-/// Whether a listing may be some seconds old, which costs the store less. Whoever follows changes from its revision misses
-/// nothing.
+/// Whether a listing may be some seconds old, which is cheaper for the store. Following changes from the revision of such a
+/// listing misses no change.
 enum class ReadFreshness { Newest, MayBeStale };
 
-/// One change; the value is empty where the key was removed.
+/// A change of one key; the value is empty when the key was removed.
 struct KeyChange
 {
     KeyValue item;
@@ -39,23 +39,23 @@
 {
     std::vector<KeyChange> changes;
     std::uint64_t revision = 0;
-    /// When the store said so.
+    /// The time at which the store confirmed this state.
     SteadyTime confirmedAt{};
-    /// They came from another daemon, and cost the store nothing.
+    /// Whether another daemon relayed the changes, without load on the store.
     bool relayed = false;
 };
 
-/// Calls block; each is safe from any thread.
+/// Lists and follows keys. Calls block; they are thread-safe.
 class WatchedStore
 {
 public:
     virtual ~WatchedStore() = default;
     virtual Result<KeyListing> listAll(const std::string &prefix, ReadFreshness freshness) = 0;
-    /// Waits up to @p timeout for changes after @p revision; HistoryCompacted means that the keys must be listed again.
+    /// Waits up to @p timeout for changes after @p revision. HistoryCompacted means that the keys must be listed again.
     virtual Result<KeyChanges> follow(const std::string &prefix, std::uint64_t revision, Millis timeout) = 0;
-    /// The revision of the newest change; may be seconds old, and costs little.
+    /// Returns the revision of the newest change, which may be some seconds old; cheap for the store.
     virtual Result<std::uint64_t> newestRevision() = 0;
-    /// Makes a call in progress on another thread fail.
+    /// Makes a call that is in progress on another thread fail.
     virtual void interrupt() = 0;
 };
 
