--- a/src/portpaddle/upstream/http_upstream_client.cpp
+++ b/src/portpaddle/upstream/http_upstream_client.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr Millis connectTimeout{ 1'000 };
-/// An upstream that is silent for this long while a stream is open counts as broken.
-constexpr Millis longestSilence{ 30'000 };
+/// An upstream that sends nothing for this long while a stream is open is treated as broken.
+constexpr Millis maxSilence{ 30'000 };
 constexpr std::string_view runStateHeader = "X-Run-State";
 
 AttemptResult notRun(ErrorCode code, std::string message, std::optional<Millis> retryAfter = std::nullopt)
@@ -46,7 +46,7 @@
     return request;
 }
 
-/// Takes the answer of one attempt and remembers what is needed to judge its end.
+/// The state of one attempt, from which its result is determined.
 struct AttemptProgress
 {
     explicit AttemptProgress(AnswerSink &receiver) : sink(receiver)
@@ -61,7 +61,7 @@
     std::optional<Millis> retryAfter;
 };
 
-bool takeHead(AttemptProgress &progress, const httplib::Response &response)
+bool receiveHead(AttemptProgress &progress, const httplib::Response &response)
 {
     progress.headSeen = true;
     progress.status = response.status;
@@ -85,14 +85,14 @@
     return !progress.receiverGone;
 }
 
-AttemptResult judge(const AttemptProgress &progress, httplib::Error error)
+AttemptResult resultOf(const AttemptProgress &progress, httplib::Error error)
 {
     if (progress.refusedAsNotRun) {
-        return notRun(ErrorCode::Overloaded, "the upstream took no more work", progress.retryAfter);
+        return notRun(ErrorCode::Overloaded, "the upstream refused the request without running it", progress.retryAfter);
     }
     if (progress.receiverGone || progress.sink.receiverGone()) {
         return AttemptResult{ AttemptEnd::ReceiverGone,
-                              Error{ ErrorCode::Cancelled, "the caller went away", RunState::MayHaveRun, std::nullopt } };
+                              Error{ ErrorCode::Cancelled, "the caller disconnected", RunState::MayHaveRun, std::nullopt } };
     }
     if (error == httplib::Error::Success) {
         return AttemptResult{};
@@ -102,7 +102,7 @@
     }
     return AttemptResult{ AttemptEnd::Broken,
                           Error{ ErrorCode::UpstreamFailed,
-                                 fmt::format("the upstream's answer was cut: {}", httplib::to_string(error)),
+                                 fmt::format("the upstream's answer is incomplete: {}", httplib::to_string(error)),
                                  RunState::MayHaveRun, std::nullopt } };
 }
 
@@ -116,14 +116,14 @@
     }
     httplib::Client client(valueOf(parsed).host, valueOf(parsed).port);
     client.set_connection_timeout(std::min(connectTimeout, timeLeft));
-    client.set_read_timeout(std::min(longestSilence, timeLeft));
-    client.set_write_timeout(std::min(longestSilence, timeLeft));
+    client.set_read_timeout(std::min(maxSilence, timeLeft));
+    client.set_write_timeout(std::min(maxSilence, timeLeft));
     client.set_tcp_nodelay(true);
     client.set_decompress(false);
 
     AttemptProgress progress(sink);
     httplib::Request request = buildRequest(call);
-    request.response_handler = [&](const httplib::Response &response) { return takeHead(progress, response); };
+    request.response_handler = [&](const httplib::Response &response) { return receiveHead(progress, response); };
     request.content_receiver = [&](const char *bytes, std::size_t size, std::uint64_t, std::uint64_t) {
         progress.receiverGone = !sink.data(std::string_view(bytes, size));
         return !progress.receiverGone;
@@ -131,7 +131,7 @@
     sink.onReceiverGone([&client] { client.stop(); });
     const httplib::Result result = client.send(request);
     sink.onReceiverGone({});
-    return judge(progress, result.error());
+    return resultOf(progress, result.error());
 }
 
 bool isHopByHopHeader(const std::string &name)
--- a/src/portpaddle/upstream/http_upstream_client.h
+++ b/src/portpaddle/upstream/http_upstream_client.h
@@ -8,14 +8,14 @@
 
 namespace Portpaddle {
 
-/// Opens a connection for each call, so that it is always known whether a call can have left.
+/// Opens a new connection for each call, so that it is always known whether the call can have been sent.
 class HttpUpstreamClient : public UpstreamClient
 {
 public:
     AttemptResult attempt(const std::string &address, const Call &call, Millis timeLeft, AnswerSink &sink) override;
 };
 
-/// Headers that belong to one connection and are never passed on.
+/// Returns whether the header @p name concerns one connection only and must not be forwarded.
 bool isHopByHopHeader(const std::string &name);
 
 } // namespace Portpaddle
