--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// portpaddled: one daemon on an entry VM.
+// portpaddled: the daemon that runs on an entry VM.
 
 #include "platform/platform_daemon.h"
 #include "portpaddle/base/digest.h"
@@ -24,8 +24,8 @@
 
 constexpr int exitUsage = 2;
 
-/// Fills the embedded platform with the settings and clients of its configuration.
-Status seedEmbedded(MemoryPlatform &platform, const EmbeddedPlatformConfig &config, const Clock &clock)
+/// Writes the settings and clients of the configuration to the embedded platform.
+Status populateEmbedded(MemoryPlatform &platform, const EmbeddedPlatformConfig &config, const Clock &clock)
 {
     for (const auto &[key, organisation] : config.clients) {
         platform.setClient(sha256Hex(key), organisation);
@@ -50,7 +50,7 @@
         return std::unique_ptr<Platform>(std::make_unique<HttpPlatform>(*config.platform));
     }
     auto embedded = std::make_unique<MemoryPlatform>(clock);
-    const Status seeded = seedEmbedded(*embedded, *config.embedded, clock);
+    const Status seeded = populateEmbedded(*embedded, *config.embedded, clock);
     if (!isOk(seeded)) {
         return errorOf(seeded);
     }
@@ -95,7 +95,7 @@
             POPT_AUTOHELP POPT_TABLEEND };
     poptContext context = poptGetContext("portpaddled", argc, const_cast<const char **>(argv), table, 0);
     if (poptGetNextOpt(context) != -1 || (settings == nullptr) == (onPlatform == 0)) {
-        fmt::print(stderr, "portpaddled: either --settings FILE or --platform is needed; see --help\n");
+        fmt::print(stderr, "portpaddled: exactly one of --settings FILE and --platform is required; see --help\n");
         return exitUsage;
     }
     if (onPlatform != 0) {
