--- a/tests/gateway/platform_tests.cpp
+++ b/tests/gateway/platform_tests.cpp
@@ -112,7 +112,7 @@
     CHECK(settings.linkAddress == "10.0.0.1:7000");
     CHECK(settings.stopBound == Millis(8'000));
     CHECK(settings.regionOfDataCentre.at("z2") == "south");
-    CHECK(settings.longestDirectoryTtl == Millis(5'000));
+    CHECK(settings.maxDirectoryTtl == Millis(5'000));
 }
 
 TEST_CASE("Node settings, missing field, is an error that names it")
