--- a/src/portpaddle/platform/counting_platform.h
+++ b/src/portpaddle/platform/counting_platform.h
@@ -10,7 +10,7 @@
 
 class Metrics;
 
-/// Passes everything on to another platform.
+/// Forwards every call to another platform and counts it as a read, a write or a watch.
 class CountingPlatform : public Platform
 {
 public:
@@ -28,9 +28,9 @@
     Result<std::optional<ClientRecord>> find(const std::string &keyDigest) override;
 
 private:
-    Platform &read();
-    Platform &written();
-    Platform &watched();
+    Platform &countedRead();
+    Platform &countedWrite();
+    Platform &countedWatch();
 
     Platform &platform_;
     Metrics &metrics_;
--- a/src/portpaddle/platform/http_platform.cpp
+++ b/src/portpaddle/platform/http_platform.cpp
@@ -16,7 +16,7 @@
 
 Error unavailable(RunState run)
 {
-    return Error{ ErrorCode::PlatformUnavailable, "the platform does not answer", run, retryAfter };
+    return Error{ ErrorCode::PlatformUnavailable, "no valid answer from the platform", run, retryAfter };
 }
 
 } // namespace
--- a/src/portpaddle/platform/http_platform.h
+++ b/src/portpaddle/platform/http_platform.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The platform's services over HTTP.
+/// HTTP client of the platform's services.
 #pragma once
 
 #include "portpaddle/base/socket_address.h"
@@ -11,7 +11,7 @@
 
 namespace Portpaddle {
 
-/// Speaks to the platform; each call is one HTTP request, so that counts agree on both sides.
+/// Sends each call as exactly one HTTP request, so that the client and the platform count the same number of calls.
 class HttpPlatform : public Platform
 {
 public:
--- a/src/portpaddle/platform/memory_platform.cpp
+++ b/src/portpaddle/platform/memory_platform.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::size_t largestValue = 1024 * 1024;
+constexpr std::size_t maxValueBytes = 1024 * 1024;
 
 Error unavailable(RunState run)
 {
-    return Error{ ErrorCode::PlatformUnavailable, "the platform does not answer", run, Millis{ 1000 } };
+    return Error{ ErrorCode::PlatformUnavailable, "the platform is unavailable", run, Millis{ 1000 } };
 }
 
 bool hasPrefix(const std::string &text, const std::string &prefix)
@@ -51,16 +51,16 @@
         return unavailable(RunState::NotRun);
     }
     dropExpiredLeases();
-    if (value.size() > largestValue) {
-        return Error{ ErrorCode::BodyTooLarge, "a value may hold up to one megabyte", RunState::NotRun, std::nullopt };
+    if (value.size() > maxValueBytes) {
+        return Error{ ErrorCode::BodyTooLarge, "the value is larger than one megabyte", RunState::NotRun, std::nullopt };
     }
     if (lease != noLease && leases_.count(lease) == 0) {
-        return Error{ ErrorCode::NotFound, "the lease has lapsed", RunState::NotRun, std::nullopt };
+        return Error{ ErrorCode::NotFound, "the lease does not exist or has expired", RunState::NotRun, std::nullopt };
     }
     if (revisionOf(key) != expectedRevision) {
         return Error{ ErrorCode::VersionConflict, "the key was changed by another writer", RunState::NotRun, std::nullopt };
     }
-    values_[key] = Stored{ value, ++revision_, lease };
+    values_[key] = StoredValue{ value, ++revision_, lease };
     changed_.notify_all();
     if (faults_.losesReplies) {
         return unavailable(RunState::MayHaveRun);
@@ -135,7 +135,7 @@
     dropExpiredLeases();
     const auto found = leases_.find(lease);
     if (found == leases_.end()) {
-        return Error{ ErrorCode::NotFound, "the lease has lapsed", RunState::NotRun, std::nullopt };
+        return Error{ ErrorCode::NotFound, "the lease does not exist or has expired", RunState::NotRun, std::nullopt };
     }
     found->second.expiresAt = clock_.monotonic() + found->second.timeToLive;
     return success();
--- a/src/portpaddle/platform/memory_platform.h
+++ b/src/portpaddle/platform/memory_platform.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A platform inside the process: the embedded default for trials and the stand-in for tests, with faults on demand.
+/// In-memory platform: the embedded default for trials, and a test double that can simulate faults.
 #pragma once
 
 #include "portpaddle/interfaces/platform.h"
@@ -15,7 +15,7 @@
 
 class Clock;
 
-/// How many calls of each kind the platform has counted.
+/// Number of calls of each kind that the platform has received.
 struct PlatformCalls
 {
     std::uint64_t reads = 0;
@@ -23,7 +23,7 @@
     std::uint64_t watches = 0;
 };
 
-/// Faults that tests switch on.
+/// Faults that tests can simulate.
 struct PlatformFaults
 {
     /// Every call fails without effect.
@@ -32,7 +32,7 @@
     bool losesReplies = false;
 };
 
-/// Keeps everything in memory.
+/// Keeps keys, leases, VMs and clients in memory.
 class MemoryPlatform : public Platform
 {
 public:
@@ -52,11 +52,11 @@
     void setFaults(PlatformFaults faults);
     PlatformCalls calls() const;
     void setVm(const VmEntry &entry);
-    /// Adds or, with an empty organisation, removes a client.
+    /// Adds a client, or removes it if @p organisation is empty.
     void setClient(const std::string &keyDigest, const std::string &organisation);
 
 private:
-    struct Stored
+    struct StoredValue
     {
         std::string value;
         std::uint64_t revision = 0;
@@ -75,7 +75,7 @@
     const Clock &clock_;
     mutable std::mutex mutex_;
     std::condition_variable changed_;
-    std::map<std::string, Stored> values_;
+    std::map<std::string, StoredValue> values_;
     std::map<std::uint64_t, LeaseState> leases_;
     std::map<std::string, VmEntry> vms_;
     std::map<std::string, std::string> clients_;
--- a/src/portpaddle/platform/platform_codec.cpp
+++ b/src/portpaddle/platform/platform_codec.cpp
@@ -36,7 +36,7 @@
 {
     Error error;
     error.code = errorCodeFromName(json.value("code", ""));
-    error.message = json.value("message", "the platform refused without a reason");
+    error.message = json.value("message", "the platform reported an error without a message");
     error.run = json.value("not_run", false) ? RunState::NotRun : RunState::MayHaveRun;
     return error;
 }
--- a/src/portpaddle/platform/platform_codec.h
+++ b/src/portpaddle/platform/platform_codec.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The JSON in which the platform's service is spoken to over HTTP.
+/// JSON encoding of the platform's types for its HTTP protocol.
 #pragma once
 
 #include "portpaddle/interfaces/platform.h"
