--- a/src/portpaddle/gateway/caller_session.h
+++ b/src/portpaddle/gateway/caller_session.h
@@ -29,7 +29,6 @@
     virtual bool closing() const;
     /// Reserves memory for a request body; returns false if the handler's bound is exceeded. There is no bound by default.
     virtual bool reserveBody(std::size_t bytes);
-    /// Releases memory that was reserved with reserveBody().
     virtual void releaseBody(std::size_t bytes);
 };
 
--- a/src/portpaddle/gateway/caller_writer.h
+++ b/src/portpaddle/gateway/caller_writer.h
@@ -26,12 +26,10 @@
 {
 public:
     virtual ~CallerWriter() = default;
-    /// Writes a complete answer.
     virtual Task<bool> whole(WholeAnswer answer) = 0;
     /// Writes the head of an answer whose length is not known.
     virtual Task<bool> begin(unsigned status, boost::beast::http::fields fields) = 0;
     virtual Task<bool> writeChunk(std::string_view bytes) = 0;
-    /// Ends an answer that begin() started.
     virtual Task<bool> end() = 0;
     /// Ends an answer to another daemon with a trailer field that says where the answer continues.
     virtual Task<bool> endWithTrailer(const char *name, const std::string &value) = 0;
--- a/src/portpaddle/gateway/continuation.h
+++ b/src/portpaddle/gateway/continuation.h
@@ -24,7 +24,6 @@
 /// Between daemons: a continuation. At the end of a stream: where to continue it; on a request: what to resume.
 inline constexpr const char *continueAtHeader = "X-Portpaddle-Continue-At";
 
-/// Returns the header value for @p continuation.
 std::string encodeContinuation(const Continuation &continuation);
 /// Parses a header value; returns no value if @p text is invalid.
 std::optional<Continuation> decodeContinuation(std::string_view text);
--- a/src/portpaddle/gateway/daemon_registration.h
+++ b/src/portpaddle/gateway/daemon_registration.h
@@ -16,7 +16,6 @@
 /// Key prefix of the daemons' records in the store.
 inline constexpr const char *daemonRecordPrefix = "portpaddle/daemons/";
 
-/// Returns the stored form of @p record.
 std::string encodeDaemonRecord(const DaemonRecord &record);
 /// Parses a stored record; returns an error if @p text is invalid.
 Result<DaemonRecord> decodeDaemonRecord(const std::string &text);
@@ -30,7 +29,6 @@
                        std::function<bool()> isListed);
     ~DaemonRegistration();
 
-    /// Starts the thread.
     void start();
     /// Marks the record as leaving; does not wait for the write to the store.
     void beginLeaving();
--- a/src/portpaddle/gateway/exchange.h
+++ b/src/portpaddle/gateway/exchange.h
@@ -22,7 +22,6 @@
     Exchange(Gateway &gateway, CallerRequest request, CallerWriter &writer);
 
     Task<void> run();
-    /// Interrupts the attempt in progress and gives the request up.
     void callerLeft();
     /// Logs that this daemon stops before the answer is complete.
     void logUnfinished() const;
@@ -107,7 +106,6 @@
     Millis capacityWaitLeft() const;
     /// Waits one polling interval for capacity; returns false when the request has waited for its maximum.
     Task<bool> waitForCapacity();
-    /// Sends the final answer and logs the outcome.
     Task<void> finish(const AttemptReport &report);
     Task<void> refuse(ErrorCode code, std::string message, Millis retryAfter);
     Task<void> fail(unsigned status, std::string message);
--- a/src/portpaddle/gateway/gateway_server.h
+++ b/src/portpaddle/gateway/gateway_server.h
@@ -23,7 +23,6 @@
 /// The addresses of a daemon, and the times of its graceful stop, which count from the order to stop.
 struct GatewayServerConfig
 {
-    /// Address for callers.
     std::string entryAddress;
     /// Address for other daemons, by TCP and UDP.
     std::string linkAddress;
@@ -45,7 +44,6 @@
 public:
     GatewayServer(boost::asio::io_context &loop, Gateway &gateway, GatewayServerConfig config);
 
-    /// Opens the listeners and the datagram socket; returns the error of the first that fails.
     Status start();
     /// Serves an additional address, for example for readiness checks, with its own handler.
     Status serveBeside(const std::string &address, RequestHandler &handler);
--- a/src/portpaddle/gateway/retry_rules.h
+++ b/src/portpaddle/gateway/retry_rules.h
@@ -22,7 +22,6 @@
     bool sent = false;
     /// An upstream may have run the request.
     bool mayHaveRun = false;
-    /// The route allows the request to run more than once.
     bool mayRunTwice = false;
     /// The request came from another daemon.
     bool relayed = false;
--- a/src/portpaddle/gateway/run_move.h
+++ b/src/portpaddle/gateway/run_move.h
@@ -29,7 +29,6 @@
 public:
     RunMove(Executor executor, ConnectionPool &pool, OrderAnswerHandler onAnswer);
 
-    /// Whether begin() was called.
     bool begun() const;
     /// Prepares the move of the run of @p requestId from @p source to @p target; run() performs it.
     void begin(std::string requestId, UpstreamRecord source, Target target);
--- a/src/portpaddle/gateway/session_listener.h
+++ b/src/portpaddle/gateway/session_listener.h
@@ -27,7 +27,6 @@
     std::string address() const;
     /// Accepts no more connections; open sessions continue.
     void stopAccepting();
-    /// Closes sessions that wait for a request.
     void closeIdle();
     void closeAll();
     /// Returns the number of open sessions; removes the ended ones from the list.
--- a/src/portpaddle/gateway/upstream_attempt.h
+++ b/src/portpaddle/gateway/upstream_attempt.h
@@ -28,7 +28,7 @@
 /// Between daemons: number of times that the request was sent to an upstream. On a request the sends so far, on an answer the
 /// sends by the answering daemon.
 inline constexpr const char *relaySendsHeader = "X-Portpaddle-Sends";
-/// Routes allow only a few sends of one request; a larger number is taken as invalid.
+/// Maximum number of sends that is believed of another daemon; routes allow only a few sends of one request.
 inline constexpr unsigned maxReportedSends = 100;
 /// Between daemons, on a request: the organisation whose key the first daemon has checked.
 inline constexpr const char *relayOrganisationHeader = "X-Portpaddle-Organisation";
@@ -120,7 +120,6 @@
     UpstreamAttempt(ConnectionPool &pool, const HeaderNames &names, const CallerRequest &request, CallerWriter &writer,
                     StreamProgress &progress);
 
-    /// Sends the request and forwards the answer to the writer.
     Task<AttemptReport> run(const AttemptPlan &plan, const AttemptCallbacks &callbacks);
     /// Closes the connection at once; run() returns soon after.
     void interrupt();
--- a/src/portpaddle/gateway/upstream_connection.h
+++ b/src/portpaddle/gateway/upstream_connection.h
@@ -51,13 +51,11 @@
     Task<std::unique_ptr<UpstreamConnection>> connect(const std::string &peer, const std::string &address,
                                                       std::chrono::milliseconds timeout, UpstreamConnection **opening,
                                                       NetError &error);
-    /// Keeps an idle connection for reuse.
     void keep(const std::string &peer, std::unique_ptr<UpstreamConnection> connection);
     /// Records that a connection from takeIdle() or connect() was closed.
     void ended(const std::string &peer);
     /// Returns the number of connections to @p peer, including idle ones.
     std::size_t open(const std::string &peer) const;
-    /// Returns the number of idle connections to @p peer.
     std::size_t idle(const std::string &peer) const;
     /// Closes idle connections that have expired or no longer look usable.
     void sweep(SteadyTime now);
