--- a/benchmarks/control_slopes.cpp
+++ b/benchmarks/control_slopes.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Measures what control costs a daemon, on the real controllers with in-process links that count bytes. Prints JSON.
+// Measures the processor time, memory and traffic that the control tasks of a daemon need. It runs the real controllers over
+// in-process links that count bytes, and prints JSON.
 
 #include "portpaddle/base/metrics.h"
 #include "portpaddle/control/observer_controller.h"
@@ -41,23 +42,24 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-/// The data centres of the planned size: 350 daemons and 900 engines over 13, tenfold apart.
+/// The daemons and engines of one data centre.
 struct DataCentreSize
 {
     unsigned daemons;
     unsigned engines;
 };
 
-std::vector<DataCentreSize> planned()
+/// Returns the planned deployment: 350 daemons and 900 engines in 13 data centres, whose sizes differ more than tenfold.
+std::vector<DataCentreSize> plannedSizes()
 {
     return { { 90, 232 }, { 60, 154 }, { 45, 116 }, { 35, 90 }, { 25, 64 }, { 20, 51 }, { 16, 41 },
              { 14, 36 },  { 12, 31 },  { 10, 26 },  { 9, 23 },  { 8, 20 },  { 6, 16 } };
 }
 
-constexpr unsigned servicesEverywhere = 9;
-constexpr unsigned organisationsPlanned = 260;
+constexpr unsigned serviceCount = 9;
+constexpr unsigned plannedOrganisations = 260;
 
-/// One size of the gossip measurement with load digests, summaries and demand as they are told in operation.
+/// Measures gossip at one size of the fleet, with load digests and service summaries announced every second as in operation.
 class GossipMeasurement
 {
 public:
@@ -77,9 +79,9 @@
         double ageSum = 0;
         double ageCount = 0;
         for (Millis passed{ 0 }; passed < window; passed += Millis{ 1'000 }) {
-            tellAll();
+            announceAll();
             network_.pass(Millis{ 1'000 });
-            collectAges(ageSum, ageCount);
+            collectDigestAges(ageSum, ageCount);
         }
         const double cpu = cpuSeconds(CLOCK_PROCESS_CPUTIME_ID) - cpuBefore;
         const double seconds = static_cast<double>(window.count()) / 1000;
@@ -87,9 +89,9 @@
         double largest = 0;
         double sum = 0;
         for (const auto &[id, bytes] : network_.bytesBySender) {
-            const double own = static_cast<double>(bytes - bytesBefore.at(id)) / seconds;
-            largest = std::max(largest, own);
-            sum += own;
+            const double sent = static_cast<double>(bytes - bytesBefore.at(id)) / seconds;
+            largest = std::max(largest, sent);
+            sum += sent;
         }
         nlohmann::json json = { { "members", members },
                                 { "largest_data_centre", sizes_.front().daemons },
@@ -117,14 +119,14 @@
                 network_.add(nameOf(dataCentre, index), fmt::format("dc-{:02}", dataCentre));
             }
         }
-        constexpr Millis look{ 1'000 };
+        constexpr Millis checkInterval{ 1'000 };
         while (!network_.allSeeAllAlive()) {
-            network_.pass(look);
+            network_.pass(checkInterval);
         }
         network_.pass(Millis{ 30'000 });
     }
 
-    void tellAll()
+    void announceAll()
     {
         ++sequence_;
         for (unsigned dataCentre = 0; dataCentre < sizes_.size(); ++dataCentre) {
@@ -138,7 +140,7 @@
                 network_.node(nameOf(dataCentre, engine % size.daemons)).announceUpstream(report);
             }
             std::vector<SummaryEntry> summaries;
-            for (unsigned service = 0; service < servicesEverywhere; ++service) {
+            for (unsigned service = 0; service < serviceCount; ++service) {
                 SummaryEntry entry;
                 entry.dataCentre = fmt::format("dc-{:02}", dataCentre);
                 entry.service = fmt::format("model-{}", service);
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Ages of the digests that arrive in the largest data centre.
-    void collectAges(double &sum, double &count)
+    /// Adds the ages of the load digests that have arrived at a daemon of the largest data centre.
+    void collectDigestAges(double &sum, double &count)
     {
         for (const UpstreamDigest &report : network_.node(nameOf(0, 0)).takeUpdates().upstreams) {
             sum += static_cast<double>((network_.now - report.observedAt).count());
@@ -161,21 +163,21 @@
         }
     }
 
-    double periods(Millis time) const
+    double toProbePeriods(Millis time) const
     {
         return static_cast<double>(time.count()) / static_cast<double>(network_.config.probePeriod.count());
     }
 
-    /// Until every daemon knows that one leaves.
+    /// Returns the probe periods until every daemon knows that one daemon leaves.
     double measureSpread()
     {
         const Millis begin = network_.now;
         network_.node(nameOf(0, 1)).leave();
         network_.passUntil(Millis{ 120'000 }, [&] { return network_.allSee(nameOf(0, 1), MemberState::Leaving); });
-        return periods(network_.now - begin);
+        return toProbePeriods(network_.now - begin);
     }
 
-    /// Until another daemon of the data centre knows that one died.
+    /// Returns the probe periods until another daemon of the data centre no longer takes a crashed daemon for alive.
     double measureDetection()
     {
         const Millis begin = network_.now;
@@ -183,7 +185,7 @@
         network_.passUntil(Millis{ 120'000 }, [&] {
             return network_.node(nameOf(0, 0)).members().find(nameOf(0, 2))->update.state != MemberState::Alive;
         });
-        return periods(network_.now - begin);
+        return toProbePeriods(network_.now - begin);
     }
 
     std::vector<DataCentreSize> sizes_;
@@ -197,11 +199,11 @@
     rows.push_back(GossipMeasurement({ { 3, 4 }, { 3, 4 }, { 2, 4 } }).run());
     rows.push_back(GossipMeasurement({ { 30, 77 } }).run());
     rows.push_back(GossipMeasurement({ { 90, 232 } }).run());
-    rows.push_back(GossipMeasurement(planned()).run());
+    rows.push_back(GossipMeasurement(plannedSizes()).run());
     return rows;
 }
 
-SettingsTree treeOf(unsigned organisations, unsigned services, const std::vector<DataCentreSize> &sizes)
+SettingsTree makeSettingsTree(unsigned organisations, unsigned services, const std::vector<DataCentreSize> &sizes)
 {
     nlohmann::json json = { { "/", { { "latency_weight", 2 } } } };
     for (unsigned service = 0; service < services; ++service) {
@@ -228,8 +230,8 @@
 nlohmann::json measureSettings()
 {
     nlohmann::json rows = nlohmann::json::array();
-    for (const unsigned organisations : { 16U, 65U, 130U, organisationsPlanned }) {
-        const SettingsTree tree = treeOf(organisations, servicesEverywhere, planned());
+    for (const unsigned organisations : { 16U, 65U, 130U, plannedOrganisations }) {
+        const SettingsTree tree = makeSettingsTree(organisations, serviceCount, plannedSizes());
         constexpr int rounds = 10;
         const double heapBefore = heapBytes();
         const double cpuBefore = cpuSeconds(CLOCK_PROCESS_CPUTIME_ID);
@@ -252,10 +254,10 @@
     return rows;
 }
 
-std::shared_ptr<RoutingSnapshot> snapshotOf(unsigned engines)
+std::shared_ptr<RoutingSnapshot> makeSnapshot(unsigned engines)
 {
     auto snapshot = std::make_shared<RoutingSnapshot>();
-    snapshot->settings = CompiledSettings::compile(treeOf(4, 1, { { 3, 0 } }), Place{ "region-0", "dc-00" });
+    snapshot->settings = CompiledSettings::compile(makeSettingsTree(4, 1, { { 3, 0 } }), Place{ "region-0", "dc-00" });
     for (unsigned index = 0; index < engines; ++index) {
         UpstreamView view;
         view.id = fmt::format("engine-{}", index);
@@ -272,25 +274,25 @@
 {
     nlohmann::json rows = nlohmann::json::array();
     for (const unsigned engines : { 12U, 100U, 300U }) {
-        const std::shared_ptr<RoutingSnapshot> snapshot = snapshotOf(engines);
+        const std::shared_ptr<RoutingSnapshot> snapshot = makeSnapshot(engines);
         SeededRandom random(1);
         RequestFacts facts;
         facts.organisation = "organisation-001";
         facts.service = "model-0";
         facts.promptTokens = 500;
-        const std::vector<std::uint32_t> own(engines, 1);
+        const std::vector<std::uint32_t> dispatches(engines, 1);
         constexpr int rounds = 20'000;
         const double before = cpuSeconds(CLOCK_THREAD_CPUTIME_ID);
         for (int round = 0; round < rounds; ++round) {
             facts.prefixHash = static_cast<std::uint64_t>(round);
-            decide(snapshot, facts, OwnDispatches{ own, {} }, Millis{ 1'000 }, random);
+            decide(snapshot, facts, OwnDispatches{ dispatches, {} }, Millis{ 1'000 }, random);
         }
         rows.push_back({ { "engines", engines }, { "cpu_us", 1e6 * (cpuSeconds(CLOCK_THREAD_CPUTIME_ID) - before) / rounds } });
     }
     return rows;
 }
 
-/// Passes one connection on to a server and counts the bytes of both ways.
+/// Forwards one connection to a server and counts the bytes in both directions.
 class CountingRelay
 {
 public:
@@ -316,7 +318,7 @@
         return address_;
     }
 
-    /// Valid once the connection has ended.
+    /// Waits until the connection has ended and returns the bytes of both directions.
     std::size_t bytes()
     {
         thread_.join();
@@ -326,11 +328,11 @@
 private:
     void run()
     {
-        const int caller = accept(listening_, nullptr, nullptr);
+        const int client = accept(listening_, nullptr, nullptr);
         const int server = socket(AF_INET, SOCK_STREAM, 0);
         const sockaddr_in native = toNative(server_);
         connect(server, reinterpret_cast<const sockaddr *>(&native), sizeof native);
-        std::array<pollfd, 2> ends{ { { caller, POLLIN, 0 }, { server, POLLIN, 0 } } };
+        std::array<pollfd, 2> ends{ { { client, POLLIN, 0 }, { server, POLLIN, 0 } } };
         std::array<char, 4096> buffer{};
         for (bool open = true; open;) {
             poll(ends.data(), ends.size(), -1);
@@ -343,7 +345,7 @@
                 }
             }
         }
-        close(caller);
+        close(client);
         close(server);
     }
 
@@ -380,7 +382,7 @@
         RemoteDispatches remotes;
         SnapshotBuilder builder(board, clock, remotes);
         board.settings.publish(
-            CompiledSettings::compile(treeOf(16, servicesEverywhere, { { 90, engines } }), Place{ "region-0", "dc-00" }));
+            CompiledSettings::compile(makeSettingsTree(16, serviceCount, { { 90, engines } }), Place{ "region-0", "dc-00" }));
         constexpr int rounds = 200;
         const double heapBefore = heapBytes();
         const double before = cpuSeconds(CLOCK_THREAD_CPUTIME_ID);
@@ -397,7 +399,7 @@
 nlohmann::json measureLimiter()
 {
     nlohmann::json rows = nlohmann::json::array();
-    for (const unsigned organisations : { 16U, 65U, organisationsPlanned }) {
+    for (const unsigned organisations : { 16U, 65U, plannedOrganisations }) {
         Limiter limiter;
         RequestPolicy policy;
         policy.maxRequestsPerSecond = 50;
@@ -424,16 +426,16 @@
 
 nlohmann::json measureTraces()
 {
-    const std::shared_ptr<RoutingSnapshot> snapshot = snapshotOf(232);
+    const std::shared_ptr<RoutingSnapshot> snapshot = makeSnapshot(232);
     SeededRandom random(1);
     RequestFacts facts;
     facts.organisation = "organisation-001";
     facts.service = "model-0";
     const double before = heapBytes();
-    std::vector<Decision> kept;
+    std::vector<Decision> decisions;
     constexpr int rounds = 500;
     for (int round = 0; round < rounds; ++round) {
-        kept.push_back(decide(snapshot, facts, OwnDispatches{}, Millis{ 1'000 }, random));
+        decisions.push_back(decide(snapshot, facts, OwnDispatches{}, Millis{ 1'000 }, random));
     }
     return { { "engines", 232 }, { "heap_bytes_per_decision", (heapBytes() - before) / rounds }, { "kept", 2048 } };
 }
--- a/benchmarks/limit_ways.cpp
+++ b/benchmarks/limit_ways.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Compares ways to keep an organisation's limit over all daemons, in virtual time: the worst over five seeds.
+// Compares strategies that enforce the limit of an organisation over all daemons, in virtual time. The figures are the worst of
+// five seeds.
 
 #include "support/limit_scenario.h"
 
@@ -17,25 +18,25 @@
 
 namespace {
 
-LimitOutcome worstOfSeeds(LimitPlay scenario, bool gathered)
+LimitOutcome worstOfSeeds(LimitPlay scenario, bool aggregated)
 {
     const OrganisationLimit limit{ LimitUnit::Tokens, scenario.perSecond, scenario.perSecond, 200 };
     LimitOutcome worst;
     for (scenario.seed = 1; scenario.seed <= 5; ++scenario.seed) {
-        const auto way
-            = gathered ? gatheredLimits(scenario.daemons, limit, scenario.seed) : sharesByDemand(scenario.daemons, limit);
-        const LimitOutcome outcome = play(scenario, *way);
+        const auto strategy
+            = aggregated ? gatheredLimits(scenario.daemons, limit, scenario.seed) : sharesByDemand(scenario.daemons, limit);
+        const LimitOutcome outcome = play(scenario, *strategy);
         worst.worstWindow = std::max(worst.worstWindow, outcome.worstWindow);
         worst.refusedBelow = std::max(worst.refusedBelow, outcome.refusedBelow);
     }
     return worst;
 }
 
-/// Processor time of looking a key up and asking the limit, with sixteen organisations of four keys each.
+/// Prints the processor time of a key look-up and a limit check per request, with sixteen organisations of four keys each.
 void printCost()
 {
     constexpr int requests = 200'000;
-    OrganisationTable book;
+    OrganisationTable organisations;
     for (int number = 0; number < 16; ++number) {
         Organisation organisation;
         organisation.name = fmt::format("organisation-{}", number);
@@ -44,19 +45,20 @@
         for (int key = 0; key < 4; ++key) {
             keys.push_back(fmt::format("a-key-of-twenty-{}-{}", number, key));
         }
-        book.add(organisation, keys);
+        organisations.add(organisation, keys);
     }
     SeededRandom random(1);
     OrganisationLimits limits(
         "d", "north", [](std::uint32_t, SteadyTime) { return true; }, [](const std::string &, SteadyTime) { return false; });
-    limits.setOrganisations(book, BootClock::now());
-    const std::clock_t begun = std::clock();
+    limits.setOrganisations(organisations, BootClock::now());
+    const std::clock_t start = std::clock();
     unsigned admitted = 0;
     for (int request = 0; request < requests; ++request) {
-        const Organisation *organisation = book.findByAuthorization(fmt::format("Bearer a-key-of-twenty-{}-2", request % 16));
+        const Organisation *organisation
+            = organisations.findByAuthorization(fmt::format("Bearer a-key-of-twenty-{}-2", request % 16));
         admitted += limits.admit(*organisation, 1'000, BootClock::now(), random) ? 0 : 1;
     }
-    const double micros = 1e6 * static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC / requests;
+    const double micros = 1e6 * static_cast<double>(std::clock() - start) / CLOCKS_PER_SEC / requests;
     fmt::print("\nkey and limit: {:.2f} µs of processor a request ({} of {} admitted)\n", micros, admitted, requests);
 }
 
@@ -71,9 +73,9 @@
         for (const unsigned daemons : { 7U, 68U, 300U }) {
             for (const double perSecond : { 36'000.0, 300'000.0, 4'000'000.0 }) {
                 const LimitOutcome shares = worstOfSeeds({ event, daemons, perSecond, 0 }, false);
-                const LimitOutcome gathered = worstOfSeeds({ event, daemons, perSecond, 0 }, true);
+                const LimitOutcome aggregated = worstOfSeeds({ event, daemons, perSecond, 0 }, true);
                 fmt::print("| {} | {} | {} | {:.2f} | {:.3f} | {:.2f} | {:.3f} |\n", nameOf(event), daemons, perSecond,
-                           shares.worstWindow, shares.refusedBelow, gathered.worstWindow, gathered.refusedBelow);
+                           shares.worstWindow, shares.refusedBelow, aggregated.worstWindow, aggregated.refusedBelow);
             }
         }
     }
--- a/benchmarks/notice_ways.cpp
+++ b/benchmarks/notice_ways.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Compares what daemons can do with what upstreams say of themselves, in virtual time: callers served, requests past the word,
-// and what upstreams get for each request that is served, over some seeds.
+// Compares strategies for the notices that upstreams give about themselves (leaving, short of capacity), in virtual time and over
+// some seeds: served callers, requests sent against a notice, and requests that arrive at upstreams per served request.
 
 #include "support/notice_fleet.h"
 
@@ -22,9 +22,9 @@
 {
     const char *name;
     NoticeScenario scenario;
-    unsigned leaving;
-    unsigned shortOf;
-    /// How long upstreams that leave stay.
+    unsigned leavingUpstreams;
+    unsigned shortUpstreams;
+    /// Time for which upstreams stay reachable after they have announced that they leave.
     std::chrono::seconds stay = 6s;
 };
 
@@ -32,25 +32,25 @@
 {
     double served = 0;
     double arrivals = 0;
-    double gone = 0;
+    double requestsAtGone = 0;
     std::size_t afterLeaving = 0;
-    std::size_t within = 0;
+    std::size_t withinTime = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         NoticeFleet fleet(named.scenario, way, seed);
         fleet.play(5s);
-        fleet.leave(named.leaving, named.stay);
-        fleet.setShort(named.shortOf, true);
+        fleet.leave(named.leavingUpstreams, named.stay);
+        fleet.setShort(named.shortUpstreams, true);
         fleet.play(8s);
-        fleet.setShort(named.shortOf, false);
+        fleet.setShort(named.shortUpstreams, false);
         fleet.play(15s);
         served += fleet.servedPart();
         arrivals += fleet.arrivalsPerServed();
-        gone += static_cast<double>(fleet.metGone());
+        requestsAtGone += static_cast<double>(fleet.metGone());
         afterLeaving = std::max(afterLeaving, fleet.afterLeaving());
-        within = std::max(within, fleet.mostWithinTime());
+        withinTime = std::max(withinTime, fleet.mostWithinTime());
     }
     fmt::print("{:44} {:15} {:8.3f} {:9.2f} {:8} {:8} {:8.1f}\n", named.name, nameOf(way), served / seeds, arrivals / seeds,
-               afterLeaving, within, gone / seeds);
+               afterLeaving, withinTime, requestsAtGone / seeds);
 }
 
 } // namespace
--- a/benchmarks/policy_comparison.cpp
+++ b/benchmarks/policy_comparison.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The routing decision against baselines on the same seeded arrivals, in virtual time: same output on every run.
+// Compares the routing decision with baselines on the same seeded arrivals in virtual time. The output is the same on every run.
 
 #include "virtual_site.h"
 
@@ -14,14 +14,14 @@
 
 namespace {
 
-struct Contender
+struct ComparedPolicy
 {
     const char *name;
     Policy policy;
     Scope scope;
 };
 
-constexpr Contender contenders[] = {
+constexpr ComparedPolicy comparedPolicies[] = {
     { "portpaddle", Policy::Decision, Scope::Everywhere },
     { "round robin, own region", Policy::RoundRobin, Scope::OwnRegion },
     { "round robin, everywhere", Policy::RoundRobin, Scope::Everywhere },
@@ -31,14 +31,14 @@
     { "modulo hash, everywhere", Policy::ModuloHash, Scope::Everywhere },
 };
 
-SiteConfig desk()
+SiteConfig deskSite()
 {
     SiteConfig config;
     config.name = "desk";
     return config;
 }
 
-SiteConfig association()
+SiteConfig associationSite()
 {
     SiteConfig config;
     config.name = "association";
@@ -54,24 +54,24 @@
     constexpr std::uint64_t seeds[] = { 1, 2, 3, 4, 5 };
     fmt::print("\n{}\n{:<26}{:>10}{:>10}{:>12}{:>12}{:>8}{:>8}{:>10}{:>10}\n", config.name, "policy", "p50 ms", "p99 ms",
                "long p99 ms", "cost ms/req", "away %", "hits %", "refusals", "unfinished");
-    for (const Contender &contender : contenders) {
+    for (const ComparedPolicy &compared : comparedPolicies) {
         SiteResult sum;
         for (const std::uint64_t seed : seeds) {
             config.seed = seed;
-            const SiteResult result = runSite(config, contender.policy, contender.scope);
+            const SiteResult result = runSite(config, compared.policy, compared.scope);
             sum.interactiveP50 += result.interactiveP50 / std::size(seeds);
             sum.interactiveP99 += result.interactiveP99 / std::size(seeds);
             sum.deferrableP99 += result.deferrableP99 / std::size(seeds);
-            sum.cost += result.cost / std::size(seeds);
-            sum.away += result.away / std::size(seeds);
-            sum.cacheHits += result.cacheHits / std::size(seeds);
+            sum.prefillMsPerRequest += result.prefillMsPerRequest / std::size(seeds);
+            sum.awayFraction += result.awayFraction / std::size(seeds);
+            sum.cacheHitFraction += result.cacheHitFraction / std::size(seeds);
             sum.refusals += result.refusals;
             sum.requests += result.requests;
             sum.finished += result.finished;
         }
-        fmt::print("{:<26}{:>10.0f}{:>10.0f}{:>12.0f}{:>12.1f}{:>8.1f}{:>8.1f}{:>10}{:>10}\n", contender.name, sum.interactiveP50,
-                   sum.interactiveP99, sum.deferrableP99, sum.cost, 100 * sum.away, 100 * sum.cacheHits, sum.refusals,
-                   sum.requests - sum.finished);
+        fmt::print("{:<26}{:>10.0f}{:>10.0f}{:>12.0f}{:>12.1f}{:>8.1f}{:>8.1f}{:>10}{:>10}\n", compared.name, sum.interactiveP50,
+                   sum.interactiveP99, sum.deferrableP99, sum.prefillMsPerRequest, 100 * sum.awayFraction,
+                   100 * sum.cacheHitFraction, sum.refusals, sum.requests - sum.finished);
     }
 }
 
@@ -79,12 +79,12 @@
 
 int main()
 {
-    for (SiteConfig config : { desk(), association() }) {
+    for (SiteConfig config : { deskSite(), associationSite() }) {
         compare(config);
-        SiteConfig whole = config;
-        whole.name += ", engines read each prompt in one go";
-        whole.prefillChunkTokens = 0;
-        compare(whole);
+        SiteConfig unchunked = config;
+        unchunked.name += ", engines read each prompt in one go";
+        unchunked.prefillChunkTokens = 0;
+        compare(unchunked);
         config.name += ", region r0 lost for a third of the time";
         config.failingRegion = 0;
         compare(config);
--- a/benchmarks/retry_ways.cpp
+++ b/benchmarks/retry_ways.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Compares ways to share a retry budget over all daemons, in virtual time: the worst window over ten seeds, and repeats made and
-// denied on average.
+// Compares strategies that share a retry budget among all daemons, in virtual time over ten seeds: the largest excess over the
+// budget in any window, and the mean numbers of retries made and denied.
 
 #include "support/retry_fleet.h"
 
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr unsigned seeds = 10;
-constexpr std::chrono::seconds length{ 60 };
+constexpr std::chrono::seconds playTime{ 60 };
 constexpr std::chrono::seconds calm{ 20 };
 constexpr std::chrono::seconds forever{ 1'000 };
-constexpr double killedAt = 22.5;
+constexpr double eventSeconds = 22.5;
 
 struct NamedScenario
 {
@@ -34,7 +34,7 @@
     std::size_t denied = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         RetryFleet fleet(named.scenario, way, seed);
-        fleet.play(length);
+        fleet.play(playTime);
         worst = std::max(worst, fleet.worstExcess());
         made += fleet.repeats();
         denied += fleet.denied();
@@ -47,27 +47,29 @@
 int main()
 {
     const std::array scenarios{
-        NamedScenario{ "calm, then a crash", { .requestsPerSecond = 3, .calm = forever, .events = { .crash = killedAt } } },
-        NamedScenario{ "few requests, a crash", { .requestsPerSecond = 0.2, .calm = forever, .events = { .crash = killedAt } } },
+        NamedScenario{ "calm, then a crash", { .requestsPerSecond = 3, .calm = forever, .events = { .crash = eventSeconds } } },
+        NamedScenario{ "few requests, a crash",
+                       { .requestsPerSecond = 0.2, .calm = forever, .events = { .crash = eventSeconds } } },
         NamedScenario{ "calm, then half of the attempts fail",
                        { .requestsPerSecond = 3, .calm = calm, .failingAttempts = 0.5, .troubles{} } },
         NamedScenario{ "calm, then a tenth fails",
                        { .requestsPerSecond = 3, .calm = calm, .failingAttempts = 0.1, .troubles{} } },
         NamedScenario{ "calm, then all fail", { .requestsPerSecond = 3, .calm = calm, .troubles{} } },
-        NamedScenario{ "the same, all killed once", { .requestsPerSecond = 3, .calm = calm, .events = { .killAll = killedAt } } },
-        NamedScenario{ "the same, callers move", { .requestsPerSecond = 3, .calm = calm, .events = { .shift = killedAt } } },
+        NamedScenario{ "the same, all killed once",
+                       { .requestsPerSecond = 3, .calm = calm, .events = { .killAll = eventSeconds } } },
+        NamedScenario{ "the same, callers move", { .requestsPerSecond = 3, .calm = calm, .events = { .shift = eventSeconds } } },
         NamedScenario{ "few requests, half fail",
                        { .requestsPerSecond = 0.2, .calm = calm, .failingAttempts = 0.5, .troubles{} } },
         NamedScenario{ "few requests, all fail", { .requestsPerSecond = 0.2, .calm = calm, .troubles{} } },
         NamedScenario{ "few requests, callers wander",
-                       { .requestsPerSecond = 0.2, .calm = calm, .events = { .wander = killedAt } } },
+                       { .requestsPerSecond = 0.2, .calm = calm, .events = { .wander = eventSeconds } } },
         NamedScenario{ "a tenth of the daemons fails", { .requestsPerSecond = 2, .failingPart = 0.1, .troubles{} } },
         NamedScenario{ "all fail, six in ten each 2 s", { .requestsPerSecond = 3, .troubles = { .killSome = 0.5 } } },
         NamedScenario{
             "8 daemons, all fail, killed once",
-            { .daemons = 8, .fixedNumber = 54, .requestsPerSecond = 10, .calm = calm, .events = { .killAll = killedAt } } },
+            { .daemons = 8, .fixedNumber = 54, .requestsPerSecond = 10, .calm = calm, .events = { .killAll = eventSeconds } } },
         NamedScenario{ "300 daemons, all fail, killed once",
-                       { .daemons = 300, .fixedNumber = 162, .calm = calm, .events = { .killAll = killedAt } } },
+                       { .daemons = 300, .fixedNumber = 162, .calm = calm, .events = { .killAll = eventSeconds } } },
     };
     fmt::print("{:38} {:22} {:>8} {:>8} {:>8}\n", "scenario", "way", "excess", "made", "denied");
     for (const NamedScenario &named : scenarios) {
--- a/benchmarks/stream_load.cpp
+++ b/benchmarks/stream_load.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Loads a running daemon with streams and measures what it adds: first byte against a direct call, memory, threads, requests a
-// second. Prints JSON. Wall-clock figures are reported, never judged.
+// Loads a running daemon with streams and measures its overhead: time to the first byte compared with a direct call, memory,
+// threads and requests per second. Prints JSON. Wall-clock figures are only reported; no check depends on them.
 
 #include "portpaddle/base/socket_address.h"
 
@@ -40,7 +40,7 @@
     }.dump();
 }
 
-/// Milliseconds until the first byte of a streamed answer; negative when there was none.
+/// Returns the milliseconds until the first byte of a streamed answer, or a negative value without an answer.
 double firstByteMs(const Target &target, const std::string &prompt)
 {
     httplib::Client client(target.address.host, target.address.port);
@@ -63,14 +63,14 @@
     return elapsed;
 }
 
-/// Streams that stay open until destroyed.
+/// Opens streams and keeps them open until the object is destroyed.
 class OpenStreams
 {
 public:
     OpenStreams(const Target &target, unsigned count)
     {
         for (unsigned index = 0; index < count; ++index) {
-            threads_.emplace_back([this, target, index] { hold(target, index); });
+            threads_.emplace_back([this, target, index] { holdOpen(target, index); });
         }
         while (opened_ < count) {
             std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -91,7 +91,7 @@
     }
 
 private:
-    void hold(const Target &target, unsigned index)
+    void holdOpen(const Target &target, unsigned index)
     {
         httplib::Client client(target.address.host, target.address.port);
         client.set_bearer_token_auth(target.key);
@@ -119,8 +119,8 @@
     std::vector<std::thread> threads_;
 };
 
-/// A figure of a process as the kernel tells it, in kB or as a count.
-double processFigure(int process, const std::string &name)
+/// Returns a figure from /proc/PID/status, in kB or as a count; zero if the figure is missing.
+double processStatus(int process, const std::string &name)
 {
     std::ifstream file(fmt::format("/proc/{}/status", process));
     for (std::string line; std::getline(file, line);) {
@@ -139,7 +139,7 @@
     return { { "p50_ms", at(0.5) }, { "p99_ms", at(0.99) }, { "samples", values.size() } };
 }
 
-nlohmann::json measurePairs(const Target &entry, const Target &engine, unsigned background)
+nlohmann::json measureFirstByte(const Target &entry, const Target &engine, unsigned background)
 {
     constexpr unsigned workers = 4;
     constexpr unsigned pairs = 250;
@@ -180,8 +180,8 @@
     nlohmann::json rows = nlohmann::json::array();
     const auto row = [&](unsigned streams, unsigned failed) {
         rows.push_back({ { "streams", streams },
-                         { "rss_kb", processFigure(process, "VmRSS") },
-                         { "threads", processFigure(process, "Threads") },
+                         { "rss_kb", processStatus(process, "VmRSS") },
+                         { "threads", processStatus(process, "Threads") },
                          { "failed", failed } });
     };
     row(0, 0);
@@ -244,7 +244,8 @@
     const Target engineTarget{ valueOf(engine), key };
     const nlohmann::ordered_json result
         = { { "memory", measureMemory(entryTarget, process) },
-            { "first_byte", { measurePairs(entryTarget, engineTarget, 0), measurePairs(entryTarget, engineTarget, 200) } },
+            { "first_byte",
+              { measureFirstByte(entryTarget, engineTarget, 0), measureFirstByte(entryTarget, engineTarget, 200) } },
             { "throughput", measureThroughput(entryTarget) } };
     fmt::print("{}\n", result.dump(2));
     return 0;
--- a/benchmarks/upstream_limit_ways.cpp
+++ b/benchmarks/upstream_limit_ways.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Compares ways to share what an upstream with a limit takes among the daemons of its region, in virtual time: requests in the
-// worst four seconds as a part of what is tolerated, and requests a second as a part of the limit, over some seeds.
+// Compares strategies that share the limit of an upstream among the daemons of its region, in virtual time and over some seeds:
+// requests in the worst four seconds as a fraction of the tolerated number, and requests per second as a fraction of the limit.
 
 #include "support/limit_fleet.h"
 
@@ -16,8 +16,8 @@
 namespace {
 
 constexpr unsigned seeds = 5;
-constexpr std::chrono::seconds before{ 6 };
-constexpr std::chrono::seconds length{ 40 };
+constexpr std::chrono::seconds warmUpTime{ 6 };
+constexpr std::chrono::seconds playTime{ 40 };
 
 struct NamedScenario
 {
@@ -31,9 +31,9 @@
     double used = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         LimitFleet fleet(named.scenario, way, seed);
-        fleet.play(before);
+        fleet.play(warmUpTime);
         fleet.name(named.scenario.perSecond);
-        fleet.play(length);
+        fleet.play(playTime);
         worst = std::max(worst, fleet.worstPart());
         used += fleet.usedPart();
     }
--- a/benchmarks/virtual_site.cpp
+++ b/benchmarks/virtual_site.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr Millis retryLook{ 50 };
+constexpr Millis retryInterval{ 50 };
 constexpr Millis epoch{ 1'000'000 };
-constexpr std::size_t peakShifts = 3;
+constexpr std::size_t peakPhases = 3;
 
-/// One request with what became of it.
+/// A request, the times of its progress in milliseconds, and the region that served it.
 struct VirtualRequest
 {
     std::size_t id = 0;
@@ -39,7 +39,7 @@
 
 using RequestPointer = std::shared_ptr<VirtualRequest>;
 
-/// Events in the order of their time.
+/// Runs actions in the order of their virtual time, and in the order of their scheduling at the same time.
 class EventQueue
 {
 public:
@@ -77,7 +77,7 @@
     std::uint64_t next_ = 0;
 };
 
-/// An engine: slots, one prefill at a time with interactive first, and a cache of prefixes.
+/// An engine with a number of slots and a prefix cache. It reads one prompt at a time and prefers interactive requests.
 class VirtualEngine
 {
 public:
@@ -105,7 +105,7 @@
         RequestPointer request;
         double linkMs;
         std::function<void()> done;
-        /// Tokens of the prompt that are still to be read; unknown before the first chunk.
+        /// Tokens of the prompt that remain to be read; negative before the first chunk, when the number is unknown.
         double uncached = -1;
     };
 
@@ -161,7 +161,7 @@
         startNext();
     }
 
-    /// Looks the prefix up in the cache, least recently used out first.
+    /// Returns the tokens to read after a look-up in the prefix cache, which evicts the least recently used prefix.
     double uncachedTokens(const VirtualRequest &request)
     {
         const double all = request.promptTokens;
@@ -190,7 +190,7 @@
     bool prefilling_ = false;
 };
 
-/// Everything together.
+/// The deployment: engines, daemons with their delayed view of the engines, and the requests between them.
 class VirtualSite
 {
 public:
@@ -309,11 +309,11 @@
         }
     }
 
-    /// The rate of a region: its peak takes one third of the time, each region's at another hour.
+    /// Returns the arrivals of a region per millisecond. Its peak lasts one third of the run; regions peak one after the other.
     double rateOf(std::size_t region, double time) const
     {
-        const double third = static_cast<double>(config_.duration.count()) / peakShifts;
-        const bool peak = static_cast<std::size_t>(time / third) % peakShifts == region % peakShifts;
+        const double third = static_cast<double>(config_.duration.count()) / peakPhases;
+        const bool peak = static_cast<std::size_t>(time / third) % peakPhases == region % peakPhases;
         return config_.requestsPerSecond * (peak ? config_.peakFactor : 1) / 1000;
     }
 
@@ -321,24 +321,24 @@
     {
         for (std::size_t region = 0; region < config_.enginesPerRegion.size(); ++region) {
             std::mt19937_64 engine(config_.seed * 100 + region);
-            const double highest = config_.requestsPerSecond * config_.peakFactor / 1000;
-            std::exponential_distribution<double> gap(highest);
+            const double highestRate = config_.requestsPerSecond * config_.peakFactor / 1000;
+            std::exponential_distribution<double> gap(highestRate);
             std::uniform_real_distribution<double> uniform(0, 1);
             for (double time = gap(engine); time < static_cast<double>(config_.duration.count()); time += gap(engine)) {
                 const double draws[] = { uniform(engine), uniform(engine), uniform(engine), uniform(engine), uniform(engine) };
-                if (draws[0] > rateOf(region, time) / highest) {
+                if (draws[0] > rateOf(region, time) / highestRate) {
                     continue;
                 }
                 auto request = std::make_shared<VirtualRequest>();
                 request->id = requests_.size();
                 request->region = region;
                 request->daemon = daemonIn(region, draws[1]);
-                request->deferrable = draws[2] < config_.deferrablePart;
+                request->deferrable = draws[2] < config_.deferrableFraction;
                 const auto history = static_cast<std::uint64_t>(draws[3] * config_.historiesPerRegion);
                 request->prefix = stableHash(fmt::format("{}/{}", region, request->deferrable ? history : request->id + 1000));
-                request->promptTokens
-                    = request->deferrable ? static_cast<unsigned>(config_.historyTokens * (0.5 + draws[4])) : config_.shortTokens;
-                request->answerTokens = request->deferrable ? config_.longAnswer : config_.shortAnswer;
+                request->promptTokens = request->deferrable ? static_cast<unsigned>(config_.historyTokens * (0.5 + draws[4]))
+                                                            : config_.shortPromptTokens;
+                request->answerTokens = request->deferrable ? config_.longAnswerTokens : config_.shortAnswerTokens;
                 request->arrivedAt = time;
                 requests_.push_back(request);
                 events_.at(time, [this, request] { place(request, request->daemon); });
@@ -355,9 +355,9 @@
         return first + static_cast<std::size_t>(draw * config_.daemonsPerRegion[region]);
     }
 
-    bool failing(std::size_t region) const
+    bool isFailing(std::size_t region) const
     {
-        const double third = static_cast<double>(config_.duration.count()) / peakShifts;
+        const double third = static_cast<double>(config_.duration.count()) / peakPhases;
         return config_.failingRegion == static_cast<int>(region) && events_.now >= third && events_.now < 2 * third;
     }
 
@@ -370,7 +370,7 @@
         for (double time = 2; time < end; time += static_cast<double>(config_.summaryInterval.count())) {
             events_.at(time, [this] { reportSummaries(); });
         }
-        for (double time = 3; time < end; time += static_cast<double>(retryLook.count())) {
+        for (double time = 3; time < end; time += static_cast<double>(retryInterval.count())) {
             events_.at(time, [this] { retryWaiting(); });
         }
     }
@@ -380,7 +380,7 @@
         const Millis observed = virtualNow();
         for (std::size_t index = 0; index < engines_.size(); ++index) {
             const UpstreamLoad load = engines_[index].engine->load();
-            const bool leaving = failing(engines_[index].region);
+            const bool leaving = isFailing(engines_[index].region);
             reported_[index] = load;
             events_.at(events_.now + static_cast<double>(config_.reportLag.count()), [this, index, load, observed, leaving] {
                 seen_[index] = load;
@@ -388,8 +388,9 @@
                     if (daemon->region != engines_[index].region) {
                         continue;
                     }
-                    const std::vector<std::size_t> &mine = engineOf_[daemon.get()];
-                    const auto position = static_cast<std::size_t>(std::find(mine.begin(), mine.end(), index) - mine.begin());
+                    const std::vector<std::size_t> &localEngines = engineOf_[daemon.get()];
+                    const auto position = static_cast<std::size_t>(std::find(localEngines.begin(), localEngines.end(), index)
+                                                                   - localEngines.begin());
                     UpstreamView &view = daemon->snapshot->upstreams[position];
                     view.load = load;
                     view.observedAt = observed;
@@ -412,7 +413,7 @@
                     queued += seen_[index].queuedInteractive + seen_[index].queuedDeferrable;
                 }
             }
-            const unsigned capacity = failing(region) ? 0 : config_.enginesPerRegion[region] * config_.slots;
+            const unsigned capacity = isFailing(region) ? 0 : config_.enginesPerRegion[region] * config_.slots;
             events_.at(events_.now + static_cast<double>(config_.summaryLag.count()),
                        [this, region, busy, queued, observed, capacity] {
                            for (auto &daemon : daemons_) {
@@ -526,7 +527,7 @@
         Daemon &daemon = *daemons_[index];
         std::vector<std::size_t> candidates;
         for (std::size_t engine = 0; engine < engines_.size(); ++engine) {
-            const bool usable = !failing(engines_[engine].region);
+            const bool usable = !isFailing(engines_[engine].region);
             if (usable && (scope_ == Scope::Everywhere || engines_[engine].region == daemon.region)) {
                 candidates.push_back(engine);
             }
@@ -549,7 +550,7 @@
         if (policy_ == Policy::ModuloHash) {
             return request.prefix % candidates.size();
         }
-        // Least loaded by the last report plus what this daemon sent since, with ties broken by chance.
+        // The load is the last report plus what this daemon has sent since; ties are broken at random.
         std::size_t best = 0;
         double lowest = 1e18;
         for (std::size_t position = 0; position < candidates.size(); ++position) {
@@ -601,24 +602,24 @@
             times[request->deferrable ? 1 : 0].push_back(request->firstTokenAt - request->arrivedAt);
             away += request->servedIn != request->region ? 1 : 0;
         }
-        const auto quantile = [](std::vector<double> &values, double part) {
+        const auto quantileOf = [](std::vector<double> &values, double part) {
             std::sort(values.begin(), values.end());
             return values.empty() ? 0 : values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
         };
-        result.interactiveP50 = quantile(times[0], 0.5);
-        result.interactiveP99 = quantile(times[0], 0.99);
-        result.deferrableP99 = quantile(times[1], 0.99);
+        result.interactiveP50 = quantileOf(times[0], 0.5);
+        result.interactiveP99 = quantileOf(times[0], 0.99);
+        result.deferrableP99 = quantileOf(times[1], 0.99);
         result.requests = requests_.size();
         result.refusals = refusals_;
-        result.away = static_cast<double>(away) / static_cast<double>(std::max<std::size_t>(1, result.finished));
+        result.awayFraction = static_cast<double>(away) / static_cast<double>(std::max<std::size_t>(1, result.finished));
         double prefill = 0;
         double hits = 0;
         for (const Engine &engine : engines_) {
             prefill += engine.engine->prefillMs;
             hits += static_cast<double>(engine.engine->hits);
         }
-        result.cost = prefill / static_cast<double>(std::max<std::size_t>(1, result.finished));
-        result.cacheHits = hits / static_cast<double>(std::max<std::size_t>(1, times[1].size()));
+        result.prefillMsPerRequest = prefill / static_cast<double>(std::max<std::size_t>(1, result.finished));
+        result.cacheHitFraction = hits / static_cast<double>(std::max<std::size_t>(1, times[1].size()));
         return result;
     }
 
--- a/benchmarks/virtual_site.h
+++ b/benchmarks/virtual_site.h
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A deployment in virtual time: arrivals, engines and daemons that decide on late reports. No sockets, no threads.
+/// Simulates a deployment in virtual time, without sockets and threads: arrivals, engines, and daemons that decide on delayed
+/// reports.
 #pragma once
 
 #include "portpaddle/base/system_clock.h"
@@ -18,12 +19,12 @@
 
 namespace Portpaddle {
 
-/// How requests are placed.
+/// The policy that chooses an engine for a request: the routing decision of a daemon or a baseline.
 enum class Policy { Decision, RoundRobin, LeastLoaded, ModuloHash };
-/// Whether a baseline uses the engines of its own region or all of them.
+/// The engines that a baseline uses: those of its own region or all of them.
 enum class Scope { OwnRegion, Everywhere };
 
-/// A deployment and its load.
+/// A deployment and its load. The vectors have one entry per region.
 struct SiteConfig
 {
     std::string name;
@@ -33,47 +34,48 @@
     double linkMs = 40;
     double tokenMs = 20;
     double prefillTokensPerSecond = 20'000;
-    /// Engines look at priorities after this many tokens of a prompt; zero reads each prompt in one go.
+    /// An engine may switch to another prompt after this many tokens; at zero it reads each prompt without a break.
     double prefillChunkTokens = 2'048;
     double cacheTokens = 120'000;
-    /// Requests a second of one region outside its peak, and how many times that in its peak.
+    /// Requests per second of each region outside its peak, and the factor by which the rate rises in its peak.
     double requestsPerSecond = 3;
     double peakFactor = 2.5;
-    /// Part of the requests that is long, may wait and belongs to one of the histories.
-    double deferrablePart = 0.3;
+    /// Fraction of the requests that are long and deferrable. Each of them continues one of the histories of its region.
+    double deferrableFraction = 0.3;
     unsigned historiesPerRegion = 40;
     unsigned historyTokens = 8'000;
-    unsigned shortTokens = 120;
-    unsigned shortAnswer = 40;
-    unsigned longAnswer = 300;
+    unsigned shortPromptTokens = 120;
+    unsigned shortAnswerTokens = 40;
+    unsigned longAnswerTokens = 300;
     Millis duration{ 600'000 };
     Millis reportInterval{ 500 };
     Millis reportLag{ 200 };
     Millis summaryInterval{ 1'000 };
     Millis summaryLag{ 400 };
     std::string weights = R"("latency_weight": 2, "cost_weight": 1, "away_weight": 1)";
-    /// A region whose engines stop taking work for the middle third; none when negative.
+    /// Region whose engines take no work in the middle third of the run; no region fails if the value is negative.
     int failingRegion = -1;
     std::uint64_t seed = 1;
 };
 
-/// What came of a run.
+/// Figures of a run. Times are milliseconds from the arrival to the first token.
 struct SiteResult
 {
     double interactiveP50 = 0;
     double interactiveP99 = 0;
     double deferrableP99 = 0;
-    /// Seconds of prefill per thousand requests.
-    double cost = 0;
-    /// Part of all requests served in another region.
-    double away = 0;
-    double cacheHits = 0;
+    /// Milliseconds of prefill per finished request.
+    double prefillMsPerRequest = 0;
+    /// Fraction of the finished requests that another region served.
+    double awayFraction = 0;
+    /// Hits in the prefix caches per finished deferrable request.
+    double cacheHitFraction = 0;
     std::size_t requests = 0;
     std::size_t finished = 0;
     std::size_t refusals = 0;
 };
 
-/// Runs @p policy on the arrivals that @p config and its seed determine.
+/// Runs @p policy on the arrivals that follow from @p config and its seed. @p scope applies to baselines only.
 SiteResult runSite(const SiteConfig &config, Policy policy, Scope scope);
 
 } // namespace Portpaddle
--- a/src/ctl/admin_client.cpp
+++ b/src/ctl/admin_client.cpp
@@ -13,11 +13,11 @@
 constexpr Millis connectTimeout{ 2'000 };
 constexpr Millis readTimeout{ 15'000 };
 
-Result<nlohmann::json> judge(const httplib::Result &reply, const SocketAddress &address)
+Result<nlohmann::json> parseReply(const httplib::Result &reply, const SocketAddress &address)
 {
     if (!reply) {
         return Error{ ErrorCode::PeerUnreachable,
-                      fmt::format("the VM at {} cannot be reached ({}); try another one of 'portpaddlectl members'",
+                      fmt::format("the VM at {} cannot be reached ({}); try another daemon listed by 'portpaddlectl members'",
                                   toText(address), httplib::to_string(reply.error())),
                       RunState::MayHaveRun, std::nullopt };
     }
@@ -25,8 +25,8 @@
     if (reply->status == 200 && !json.is_discarded()) {
         return json;
     }
-    const bool described = json.is_object() && json.contains("error") && json["error"].is_object();
-    const nlohmann::json error = described ? json["error"] : nlohmann::json::object();
+    const bool hasErrorObject = json.is_object() && json.contains("error") && json["error"].is_object();
+    const nlohmann::json error = hasErrorObject ? json["error"] : nlohmann::json::object();
     return Error{ errorCodeFromName(error.value("code", "internal")),
                   error.value("message", fmt::format("the daemon answered with status {}", reply->status)), RunState::NotRun,
                   std::nullopt };
@@ -45,7 +45,7 @@
     client.set_connection_timeout(connectTimeout);
     client.set_read_timeout(readTimeout);
     client.set_bearer_token_auth(operatorKey_);
-    return judge(client.Get(path, parameters, httplib::Headers{}), address_);
+    return parseReply(client.Get(path, parameters, httplib::Headers{}), address_);
 }
 
 Result<nlohmann::json> AdminClient::post(const std::string &path, const nlohmann::json &body) const
@@ -54,7 +54,7 @@
     client.set_connection_timeout(connectTimeout);
     client.set_read_timeout(readTimeout);
     client.set_bearer_token_auth(operatorKey_);
-    return judge(client.Post(path, body.dump(), "application/json"), address_);
+    return parseReply(client.Post(path, body.dump(), "application/json"), address_);
 }
 
 } // namespace Portpaddle
--- a/src/ctl/admin_client.h
+++ b/src/ctl/admin_client.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Speaks to the operators' listener of a daemon.
+/// HTTP client of a daemon's operator address.
 #pragma once
 
 #include "portpaddle/base/error.h"
@@ -14,7 +14,8 @@
 
 namespace Portpaddle {
 
-/// Asks one daemon; an error says whether the VM could not be reached or refused.
+/// Sends requests to one daemon. A request fails with PeerUnreachable without an answer, and with the daemon's own error
+/// otherwise.
 class AdminClient
 {
 public:
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -18,21 +18,22 @@
 namespace {
 
 constexpr std::array<CommandDescription, 15> catalogue{ {
-    { "status", "what the daemon is, its settings version, and whether it sees the platform and the others" },
-    { "members", "all daemons known, and their states" },
-    { "engines", "upstreams of the data centre with load and health, and what other data centres offer" },
-    { "explain REQUEST", "why a request went where it went, with the setting behind each reason" },
-    { "settings show PATH", "effective values at a path; --origin adds the node and version that set each" },
-    { "settings get", "the whole tree as a file that 'settings apply' takes" },
-    { "settings check FILE", "check a file of settings as a whole, without a daemon" },
-    { "settings diff FILE", "what a file would change" },
-    { "settings apply FILE", "propose the changes of a file; --expected-version refuses if others were faster" },
-    { "settings set PATH KEY VALUE", "propose one change; VALUE is JSON, null removes the key" },
+    { "status", "identity and settings version of the daemon, and whether the platform and the other daemons are reachable" },
+    { "members", "all known daemons and their states" },
+    { "engines", "upstreams of the data centre with load and health, and the capacity of other data centres" },
+    { "explain REQUEST", "how a request was routed, with the setting behind each reason" },
+    { "settings show PATH", "effective values at a path; --origin adds the node and version that set each value" },
+    { "settings get", "the whole settings tree, in the file format of 'settings apply'" },
+    { "settings check FILE", "check a settings file without a daemon" },
+    { "settings diff FILE", "the changes that applying a file would make" },
+    { "settings apply FILE",
+      "propose the changes of a file; --expected-version rejects them if the settings have changed since that version" },
+    { "settings set PATH KEY VALUE", "propose one change; VALUE is JSON, and null removes the key" },
     { "settings history", "accepted changes, oldest first" },
-    { "settings revert VERSION", "a new version that restores the values of an old one" },
-    { "orders", "orders that this daemon gave to engines while it held the lease, newest first" },
-    { "drain", "the daemon takes no new work and finishes what it has" },
-    { "audit", "what operators did besides settings, newest first" },
+    { "settings revert VERSION", "propose a new version with the values of an old one" },
+    { "orders", "orders that this daemon sent to engines while it held the lease, newest first" },
+    { "drain", "let the daemon finish its requests and accept no new ones" },
+    { "audit", "operator actions other than settings changes, newest first" },
 } };
 
 ExitCode exitCodeOf(const Error &error)
@@ -51,7 +52,7 @@
     }
 }
 
-ExitCode report(const Error &error)
+ExitCode printError(const Error &error)
 {
     fmt::print(stderr, "portpaddlectl: {}: {}\n", nameOf(error.code), error.message);
     return exitCodeOf(error);
@@ -63,37 +64,37 @@
     return fmt::format("{:08x}{:08x}", device(), device());
 }
 
-std::string cell(const nlohmann::json &value)
+std::string cellText(const nlohmann::json &value)
 {
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-/// Prints rows with aligned columns, each named by the member it shows.
+/// Prints rows with aligned columns. A column shows the JSON member of the same name.
 void printTable(const nlohmann::json &rows, const std::vector<std::string> &columns)
 {
     std::vector<std::size_t> widths;
     for (const std::string &column : columns) {
         std::size_t width = column.size();
         for (const nlohmann::json &row : rows) {
-            width = std::max(width, cell(row.value(column, nlohmann::json(""))).size());
+            width = std::max(width, cellText(row.value(column, nlohmann::json(""))).size());
         }
         widths.push_back(width);
     }
-    const auto line = [&](const std::function<std::string(const std::string &)> &textOf) {
+    const auto printLine = [&](const std::function<std::string(const std::string &)> &textOf) {
         for (std::size_t index = 0; index < columns.size(); ++index) {
             fmt::print("{:<{}}{}", textOf(columns[index]), widths[index], index + 1 == columns.size() ? "\n" : "  ");
         }
     };
-    line([](const std::string &column) { return column; });
+    printLine([](const std::string &column) { return column; });
     for (const nlohmann::json &row : rows) {
-        line([&](const std::string &column) { return cell(row.value(column, nlohmann::json(""))); });
+        printLine([&](const std::string &column) { return cellText(row.value(column, nlohmann::json(""))); });
     }
 }
 
-void printMembers(const nlohmann::json &json)
+void printFields(const nlohmann::json &json)
 {
     for (const auto &[name, value] : json.items()) {
-        fmt::print("{:<24}{}\n", name, cell(value));
+        fmt::print("{:<24}{}\n", name, cellText(value));
     }
 }
 
@@ -101,7 +102,7 @@
                   const std::vector<std::string> &columns)
 {
     if (!isOk(reply)) {
-        return report(errorOf(reply));
+        return printError(errorOf(reply));
     }
     if (line.json) {
         fmt::print("{}\n", valueOf(reply).dump(2));
@@ -115,12 +116,12 @@
 {
     const Result<nlohmann::json> reply = client.get("/admin/status");
     if (!isOk(reply)) {
-        return report(errorOf(reply));
+        return printError(errorOf(reply));
     }
     if (line.json) {
         fmt::print("{}\n", valueOf(reply).dump(2));
     } else {
-        printMembers(valueOf(reply));
+        printFields(valueOf(reply));
     }
     return ExitCode::Success;
 }
@@ -156,7 +157,7 @@
 {
     const Result<nlohmann::json> reply = client.get("/admin/explain", { { "request", line.words.at(1) } });
     if (!isOk(reply)) {
-        return report(errorOf(reply));
+        return printError(errorOf(reply));
     }
     const nlohmann::json &trace = valueOf(reply);
     if (line.json) {
@@ -197,7 +198,7 @@
 {
     const Result<SettingsTree> tree = currentTree(client);
     if (!isOk(tree)) {
-        return report(errorOf(tree));
+        return printError(errorOf(tree));
     }
     nlohmann::json json = nlohmann::json::object();
     for (const auto &[path, node] : valueOf(tree).nodes()) {
@@ -220,14 +221,14 @@
 {
     const Result<SettingsPatch> patch = patchFromFile(line.words.at(2));
     if (!isOk(patch)) {
-        return report(errorOf(patch));
+        return printError(errorOf(patch));
     }
     const std::vector<SettingsProblem> problems = checkSettings(SettingsTree().with(valueOf(patch), 1));
     for (const SettingsProblem &problem : problems) {
         fmt::print("{}: {}\n", line.words.at(2), describe(problem));
     }
     if (problems.empty()) {
-        fmt::print("{}: nothing wrong\n", line.words.at(2));
+        fmt::print("{}: no problems found\n", line.words.at(2));
     }
     return problems.empty() ? ExitCode::Success : ExitCode::Invalid;
 }
@@ -237,13 +238,13 @@
     const Result<SettingsPatch> patch = patchFromFile(line.words.at(2));
     const Result<SettingsTree> tree = currentTree(client);
     if (!isOk(patch) || !isOk(tree)) {
-        return report(isOk(patch) ? errorOf(tree) : errorOf(patch));
+        return printError(isOk(patch) ? errorOf(tree) : errorOf(patch));
     }
     const SettingsTree &present = valueOf(tree);
     for (const PatchEntry &entry : present.differenceTo(present.with(valueOf(patch), present.version() + 1))) {
         const ResolvedValue before = present.resolve(entry.path, entry.key);
-        const bool own = before.path == entry.path;
-        fmt::print("{} {}: {} -> {}\n", entry.path, entry.key, own ? before.value.dump() : "(none)",
+        const bool setHere = before.path == entry.path;
+        fmt::print("{} {}: {} -> {}\n", entry.path, entry.key, setHere ? before.value.dump() : "(none)",
                    entry.value.is_null() ? "(none)" : entry.value.dump());
     }
     return ExitCode::Success;
@@ -252,7 +253,7 @@
 ExitCode propose(const CommandLine &line, const AdminClient &client, const std::string &path, nlohmann::json body)
 {
     if (line.author.empty() || line.reason.empty()) {
-        fmt::print(stderr, "portpaddlectl: --author and --reason are needed: they go into the audit trail\n");
+        fmt::print(stderr, "portpaddlectl: --author and --reason are required for the audit trail\n");
         return ExitCode::Usage;
     }
     body["author"] = line.author;
@@ -263,7 +264,7 @@
     }
     const Result<nlohmann::json> reply = client.post(path, body);
     if (!isOk(reply)) {
-        return report(errorOf(reply));
+        return printError(errorOf(reply));
     }
     if (line.json) {
         fmt::print("{}\n", valueOf(reply).dump(2));
@@ -277,7 +278,7 @@
 {
     const Result<SettingsPatch> patch = patchFromFile(line.words.at(2));
     if (!isOk(patch)) {
-        return report(errorOf(patch));
+        return printError(errorOf(patch));
     }
     return propose(line, client, "/admin/settings", { { "patch", patchToJson(valueOf(patch)) } });
 }
@@ -286,7 +287,7 @@
 {
     const Result<nlohmann::json> value = parseJsonWithComments(line.words.at(4), "VALUE");
     if (!isOk(value)) {
-        return report(errorOf(value));
+        return printError(errorOf(value));
     }
     const SettingsPatch patch{ PatchEntry{ line.words.at(2), line.words.at(3), valueOf(value) } };
     return propose(line, client, "/admin/settings", { { "patch", patchToJson(patch) } });
@@ -296,7 +297,7 @@
 {
     const std::string &text = line.words.at(2);
     if (text.empty() || text.size() > 18 || text.find_first_not_of("0123456789") != std::string::npos) {
-        fmt::print(stderr, "portpaddlectl: '{}' is not a version\n", text);
+        fmt::print(stderr, "portpaddlectl: '{}' is not a version number\n", text);
         return ExitCode::Usage;
     }
     return propose(line, client, "/admin/settings/revert", { { "version", std::stoull(text) } });
@@ -305,18 +306,18 @@
 ExitCode drain(const CommandLine &line, const AdminClient &client)
 {
     if (line.author.empty() || line.reason.empty()) {
-        fmt::print(stderr, "portpaddlectl: --author and --reason are needed: they go into the audit trail\n");
+        fmt::print(stderr, "portpaddlectl: --author and --reason are required for the audit trail\n");
         return ExitCode::Usage;
     }
     const Result<nlohmann::json> reply = client.post("/admin/drain", { { "author", line.author }, { "reason", line.reason } });
     if (!isOk(reply)) {
-        return report(errorOf(reply));
+        return printError(errorOf(reply));
     }
     fmt::print("draining, {} requests in progress\n", valueOf(reply).value("requests_in_progress", 0));
     return ExitCode::Success;
 }
 
-/// How a command is called and what runs it.
+/// The words that select a command, the number of its arguments and the function that runs it.
 struct Command
 {
     std::vector<std::string> words;
@@ -326,7 +327,7 @@
 
 const std::vector<Command> &commands()
 {
-    const auto limit = [](const CommandLine &line) {
+    const auto limitParameter = [](const CommandLine &line) {
         return std::multimap<std::string, std::string>{ { "limit", std::to_string(line.limit) } };
     };
     static const std::vector<Command> table{
@@ -346,8 +347,8 @@
         { { "settings", "set" }, 3, setValue },
         { { "settings", "history" },
           0,
-          [limit](const CommandLine &line, const AdminClient &client) {
-              return showList(line, client.get("/admin/history", limit(line)), "changes",
+          [limitParameter](const CommandLine &line, const AdminClient &client) {
+              return showList(line, client.get("/admin/history", limitParameter(line)), "changes",
                               { "version", "author", "reason", "patch" });
           } },
         { { "settings", "revert" }, 1, revert },
@@ -360,8 +361,8 @@
         { { "drain" }, 0, drain },
         { { "audit" },
           0,
-          [limit](const CommandLine &line, const AdminClient &client) {
-              return showList(line, client.get("/admin/audit", limit(line)), "entries",
+          [limitParameter](const CommandLine &line, const AdminClient &client) {
+              return showList(line, client.get("/admin/audit", limitParameter(line)), "entries",
                               { "time_ms", "author", "daemon", "action", "reason", "outcome" });
           } },
     };
@@ -378,9 +379,9 @@
 ExitCode runCommand(const CommandLine &line, const AdminClient &client)
 {
     for (const Command &command : commands()) {
-        const bool named = line.words.size() >= command.words.size()
+        const bool matches = line.words.size() >= command.words.size()
             && std::equal(command.words.begin(), command.words.end(), line.words.begin());
-        if (!named) {
+        if (!matches) {
             continue;
         }
         if (line.words.size() != command.words.size() + command.arguments) {
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -24,7 +24,7 @@
     Invalid = 6,
 };
 
-/// What the command line said.
+/// The parsed command line: the words of the command with its arguments, and the options.
 struct CommandLine
 {
     std::vector<std::string> words;
@@ -36,15 +36,16 @@
     unsigned limit = 50;
 };
 
-/// A command as help and documentation list it.
+/// A command as the help and the reference page list it.
 struct CommandDescription
 {
     std::string_view usage;
     std::string_view meaning;
 };
 
+/// Returns all commands in the order of the help.
 std::span<const CommandDescription> commandCatalogue();
-/// Runs one command and prints its result.
+/// Runs one command and prints its result, or the error on standard error.
 ExitCode runCommand(const CommandLine &line, const AdminClient &client);
 
 } // namespace Portpaddle
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// portpaddlectl: the operators' command line.
+// portpaddlectl: the command-line tool for operators.
 
 #include "ctl/commands.h"
 #include "portpaddle/base/file.h"
@@ -31,7 +31,7 @@
     int help = 0;
 };
 
-std::string textOr(const char *value, const char *variable)
+std::string optionOrEnvironment(const char *value, const char *variable)
 {
     if (value != nullptr) {
         return value;
@@ -53,11 +53,10 @@
     for (const CommandDescription &command : commandCatalogue()) {
         fmt::print("  {:<30}{}\n", command.usage, command.meaning);
     }
-    fmt::print("\nEnvironment:\n  {:<30}the daemon's operator address if --daemon is not given\n  {:<30}the operators' key if "
-               "--key-file "
-               "is not given\n",
+    fmt::print("\nEnvironment:\n  {:<30}operator address of the daemon, unless --daemon is given\n  {:<30}operator key, "
+               "unless --key-file is given\n",
                addressVariable, keyVariable);
-    fmt::print("\nExit codes: 0 done, 1 refused, 2 wrong usage, 3 VM unreachable, 4 others were faster, 5 not found, 6 settings "
+    fmt::print("\nExit codes: 0 success, 1 refused, 2 usage error, 3 VM unreachable, 4 version conflict, 5 not found, 6 settings "
                "invalid\n");
 }
 
@@ -68,13 +67,15 @@
     Options options;
     const poptOption table[]
         = { { "daemon", 'd', POPT_ARG_STRING, &options.daemon, 0, "operator address of any daemon", "HOST:PORT" },
-            { "key-file", 'k', POPT_ARG_STRING, &options.keyFile, 0, "file with the operators' key", "FILE" },
+            { "key-file", 'k', POPT_ARG_STRING, &options.keyFile, 0, "file with the operator key", "FILE" },
             { "json", 'j', POPT_ARG_NONE, &options.json, 0, "print JSON", nullptr },
             { "origin", 'o', POPT_ARG_NONE, &options.origin, 0, "show which node and version set each value", nullptr },
-            { "author", 'a', POPT_ARG_STRING, &options.author, 0, "who changes something", "NAME" },
-            { "reason", 'r', POPT_ARG_STRING, &options.reason, 0, "why", "TEXT" },
-            { "expected-version", 'e', POPT_ARG_LONGLONG, &options.expectedVersion, 0, "refuse if the settings moved on", "N" },
-            { "limit", 'n', POPT_ARG_INT | POPT_ARGFLAG_SHOW_DEFAULT, &options.limit, 0, "most entries to list", "N" },
+            { "author", 'a', POPT_ARG_STRING, &options.author, 0, "author of a change, for the audit trail", "NAME" },
+            { "reason", 'r', POPT_ARG_STRING, &options.reason, 0, "reason for a change, for the audit trail", "TEXT" },
+            { "expected-version", 'e', POPT_ARG_LONGLONG, &options.expectedVersion, 0,
+              "reject the change if the settings are at another version", "N" },
+            { "limit", 'n', POPT_ARG_INT | POPT_ARGFLAG_SHOW_DEFAULT, &options.limit, 0, "maximum number of entries to list",
+              "N" },
             { "help", 'h', POPT_ARG_NONE, &options.help, 0, "show this help", nullptr },
             POPT_TABLEEND };
     poptContext context = poptGetContext("portpaddlectl", argc, const_cast<const char **>(argv), table, 0);
@@ -99,7 +100,7 @@
     if (options.expectedVersion >= 0) {
         line.expectedVersion = static_cast<std::uint64_t>(options.expectedVersion);
     }
-    std::string key = textOr(nullptr, keyVariable);
+    std::string key = optionOrEnvironment(nullptr, keyVariable);
     if (options.keyFile != nullptr) {
         const Result<std::string> read = readFile(options.keyFile);
         if (!isOk(read)) {
@@ -107,7 +108,7 @@
         }
         key = valueOf(read).substr(0, valueOf(read).find('\n'));
     }
-    const std::string address = textOr(options.daemon, addressVariable);
+    const std::string address = optionOrEnvironment(options.daemon, addressVariable);
     const Result<SocketAddress> parsed = parseSocketAddress(address.empty() ? "127.0.0.1:8081" : address);
     if (!isOk(parsed)) {
         return usageError(errorOf(parsed).message);
--- a/src/reference/main.cpp
+++ b/src/reference/main.cpp
@@ -20,7 +20,8 @@
                                                           { "policy", policyPage } };
     const auto page = argc == 2 ? pages.find(argv[1]) : pages.end();
     if (page == pages.end()) {
-        fmt::print(stderr, "portpaddle-reference: one of settings, log-events, metrics, command-line, policy is needed\n");
+        fmt::print(stderr,
+                   "portpaddle-reference: the argument must be one of settings, log-events, metrics, command-line and policy\n");
         return 2;
     }
     fmt::print("{}", page->second());
--- a/src/reference/pages.cpp
+++ b/src/reference/pages.cpp
@@ -16,12 +16,12 @@
 
 namespace {
 
-std::string heading(std::string_view title)
+std::string pageHeading(std::string_view title)
 {
-    return fmt::format("# {}\n\nMade from the code by `portpaddle-reference`; do not edit.\n\n", title);
+    return fmt::format("# {}\n\nGenerated from the code by `portpaddle-reference`; do not edit.\n\n", title);
 }
 
-std::string allowedNodes(unsigned bits)
+std::string allowedNodeKinds(unsigned bits)
 {
     std::string text;
     for (unsigned kind = 0; kind <= static_cast<unsigned>(NodeKind::OrganisationService); ++kind) {
@@ -64,19 +64,19 @@
 
 std::string settingsPage()
 {
-    std::string text = heading("Settings reference");
-    text += "Settings are one tree, written as JSON with comments: an object whose members are paths and whose values are "
-            "objects of keys.\n"
-            "A value is inherited by the nodes below unless one of them overrides it; null removes a key or a node.\n\n"
+    std::string text = pageHeading("Settings reference");
+    text += "The settings form one tree, written as JSON with comments: an object that maps each path to an object of keys and "
+            "values.\n"
+            "The nodes below inherit a value unless one of them overrides it; null removes a key or a node.\n\n"
             "Paths: `/`, `/regions/R`, `/regions/R/data_centres/D`, `/regions/R/data_centres/D/upstreams/U`, `/services/S`,\n"
             "`/organisations/O`, `/organisations/O/services/S`.\n\n"
-            "For a request the first of these that has the key decides: the organisation's service, the organisation, the "
-            "service, the\n"
-            "data centre, the region, the root.\n\n"
+            "The value for a request comes from the first of these nodes that sets the key: the organisation's service, the "
+            "organisation,\n"
+            "the service, the data centre, the region, the root.\n\n"
             "| key | type | bounds | default | at | meaning |\n| --- | --- | --- | --- | --- | --- |\n";
     for (const KeyDescription &key : settingsSchema()) {
         text += fmt::format("| `{}` | {} | {} | {} | {} | {} |\n", key.name, nameOf(key.type), bounds(key),
-                            key.defaultJson.empty() ? "" : fmt::format("`{}`", key.defaultJson), allowedNodes(key.allowedAt),
+                            key.defaultJson.empty() ? "" : fmt::format("`{}`", key.defaultJson), allowedNodeKinds(key.allowedAt),
                             key.meaning);
     }
     return text;
@@ -84,9 +84,9 @@
 
 std::string logEventsPage()
 {
-    std::string text = heading("Log events");
-    text += "Each line on standard error is one JSON object with `time_ms`, `source`, `event`, `name`, `level` and the event's "
-            "own members.\n\n"
+    std::string text = pageHeading("Log events");
+    text += "Each line on standard error is one JSON object with `time_ms`, `source`, `event`, `name`, `level` and the members "
+            "of the event.\n\n"
             "| event | name | level | meaning |\n| --- | --- | --- | --- |\n";
     for (const LogEventDescription &row : logCatalogue()) {
         text += fmt::format("| {} | `{}` | {} | {} |\n", static_cast<int>(row.event), row.name, row.level, row.meaning);
@@ -96,9 +96,8 @@
 
 std::string metricsPage()
 {
-    std::string text = heading("Metrics");
-    text += "`GET /metrics` at the operators' address, with the operators' key, in the text format that common scrapers read. "
-            "Quantiles\n"
+    std::string text = pageHeading("Metrics");
+    text += "`GET /metrics` at the operator address, with the operator key, answers in the Prometheus text format. Quantiles\n"
             "are running estimates since the start of the daemon.\n\n"
             "| name | type | meaning |\n| --- | --- | --- |\n";
     return text + metricRows(counterCatalogue(), "counter") + metricRows(timerCatalogue(), "summary");
@@ -106,8 +105,9 @@
 
 std::string policyPage()
 {
-    std::string text = heading("Policy settings");
-    text += "How a daemon on the users' platform weighs, and which mechanisms it uses: the object `policy` of\n"
+    std::string text = pageHeading("Policy settings");
+    text += "Weights of the routing decision and switches of the mechanisms of a daemon on the users' platform: the object "
+            "`policy` of\n"
             "`deploy/settings.template`, read at the start and on SIGHUP. An unknown name or a value out of its bounds is an "
             "error.\n\n"
             "| name | type | default | meaning |\n| --- | --- | --- | --- |\n";
@@ -119,17 +119,19 @@
 
 std::string commandLinePage()
 {
-    std::string text = heading("Command line");
-    text += "`portpaddlectl [OPTION...] COMMAND [ARGUMENT...]` asks the daemon at `--daemon` or in `PORTPADDLE_DAEMON`, with the "
-            "operators' key\n"
-            "in `--key-file` or `PORTPADDLE_OPERATOR_KEY`. `--json` prints JSON. `portpaddlectl --help` lists all options.\n\n"
-            "| command | what it does |\n| --- | --- |\n";
+    std::string text = pageHeading("Command line");
+    text += "`portpaddlectl [OPTION...] COMMAND [ARGUMENT...]` sends the command to the daemon at `--daemon` or "
+            "`PORTPADDLE_DAEMON`, with the\n"
+            "operator key from `--key-file` or `PORTPADDLE_OPERATOR_KEY`. `--json` prints JSON. `portpaddlectl --help` lists all "
+            "options.\n\n"
+            "| command | meaning |\n| --- | --- |\n";
     for (const CommandDescription &command : commandCatalogue()) {
         text += fmt::format("| `{}` | {} |\n", command.usage, command.meaning);
     }
     return text
         + "\n| exit code | meaning |\n| --- | --- |\n"
-          "| 0 | done |\n| 1 | refused |\n| 2 | wrong usage |\n| 3 | the VM cannot be reached |\n| 4 | others were faster |\n"
+          "| 0 | success |\n| 1 | refused |\n| 2 | usage error |\n| 3 | the VM is unreachable |\n"
+          "| 4 | version conflict: the settings have changed since the expected version |\n"
           "| 5 | not found |\n| 6 | settings invalid |\n";
 }
 
--- a/src/reference/pages.h
+++ b/src/reference/pages.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Reference pages made from the tables in the code, so that they cannot disagree with it.
+/// Reference pages in Markdown, generated from the tables in the code so that both always agree.
 #pragma once
 
 #include <string>
--- a/src/standins/engine_standin.cpp
+++ b/src/standins/engine_standin.cpp
@@ -19,17 +19,17 @@
 
 constexpr std::size_t prefixBytes = 2048;
 constexpr std::size_t bytesPerToken = 4;
-constexpr unsigned usualTokens = 16;
+constexpr unsigned defaultTokens = 16;
 constexpr unsigned maxTokens = 100'000;
 constexpr std::size_t engineThreads = 1024;
-constexpr std::size_t largestBody = 16 * 1024 * 1024;
+constexpr std::size_t maxBodyBytes = 16 * 1024 * 1024;
 
-std::string wordOf(const std::string &prompt, unsigned index)
+std::string tokenText(const std::string &prompt, unsigned index)
 {
     return fmt::format("w{}-{} ", index, (stableHash(prompt) + index * 7919ULL) % 997);
 }
 
-std::string promptOf(const nlohmann::json &body)
+std::string joinedPrompt(const nlohmann::json &body)
 {
     std::string prompt;
     for (const nlohmann::json &message : body.value("messages", nlohmann::json::array())) {
@@ -38,7 +38,7 @@
     return prompt;
 }
 
-void refuseAsNotRun(httplib::Response &response, const std::string &reason)
+void respondNotRun(httplib::Response &response, const std::string &reason)
 {
     response.status = 503;
     response.set_header("X-Run-State", "not_run");
@@ -48,19 +48,19 @@
 
 } // namespace
 
-/// One request on the engine.
+/// A request on the engine: the index of its next token, the end of the answer, and the tokens produced in this stream.
 struct EngineStandIn::Job
 {
     std::string id;
     std::string model;
     std::string prompt;
-    unsigned next = 0;
-    unsigned end = 0;
+    unsigned nextToken = 0;
+    unsigned endToken = 0;
     unsigned produced = 0;
 };
 
 EngineStandIn::EngineStandIn(EngineStandInConfig config)
-    : config_(config), server_("engine", HttpServerLimits{ .maximumThreads = engineThreads, .maximumBodyBytes = largestBody })
+    : config_(config), server_("engine", HttpServerLimits{ .maximumThreads = engineThreads, .maximumBodyBytes = maxBodyBytes })
 {
     addRoutes();
 }
@@ -154,10 +154,10 @@
 
 std::string EngineStandIn::answerText(const std::string &prompt, unsigned tokens)
 {
-    // The prompt counts as it stands in the body, in quotes.
+    // joinedPrompt() takes the content as JSON, so the prompt is quoted here as well.
     std::string text;
     for (unsigned index = 0; index < tokens; ++index) {
-        text += wordOf(nlohmann::json(prompt).dump(), index);
+        text += tokenText(nlohmann::json(prompt).dump(), index);
     }
     return text;
 }
@@ -169,7 +169,7 @@
     server_.routes().Post("/v1/chat/completions",
                           [this](const Request &request, Response &response) { chat(request, response); });
     server_.routes().Get("/load", [this](const Request &, Response &response) { load(response); });
-    server_.routes().Post("/orders", [this](const Request &request, Response &response) { takeOrder(request, response); });
+    server_.routes().Post("/orders", [this](const Request &request, Response &response) { receiveOrder(request, response); });
 }
 
 void EngineStandIn::chat(const httplib::Request &request, httplib::Response &response)
@@ -180,29 +180,30 @@
         return;
     }
     if (!acquireSlot(request.get_header_value("X-Priority") != "deferrable")) {
-        return refuseAsNotRun(response, "the engine is leaving or its queue is full");
+        return respondNotRun(response, "the engine is leaving or its queue is full");
     }
     auto job = std::make_shared<Job>();
     job->id = request.get_header_value("X-Request-Id");
     job->model = body.value("model", "");
-    job->prompt = promptOf(body);
-    job->end = std::min(maxTokens, body.value("max_tokens", usualTokens));
+    job->prompt = joinedPrompt(body);
+    job->endToken = std::min(maxTokens, body.value("max_tokens", defaultTokens));
     const std::string resume = request.get_header_value("X-Resume-From-Token");
-    job->next = resume.empty() ? 0 : static_cast<unsigned>(std::stoul(resume));
+    job->nextToken = resume.empty() ? 0 : static_cast<unsigned>(std::stoul(resume));
     prefill(*job);
     if (body.value("stream", false)) {
         return stream(std::move(job), response);
     }
     std::string text;
-    for (unsigned index = 0; index < job->end; ++index) {
+    for (unsigned index = 0; index < job->endToken; ++index) {
         waitWhileHeld(index);
         std::this_thread::sleep_for(index > 0 ? config_.tokenTime : Millis{ 0 });
-        text += wordOf(job->prompt, index);
+        text += tokenText(job->prompt, index);
     }
     releaseSlot();
     const nlohmann::json choice
         = { { "index", 0 }, { "message", { { "role", "assistant" }, { "content", text } } }, { "finish_reason", "stop" } };
-    const nlohmann::json usage = { { "prompt_tokens", job->prompt.size() / bytesPerToken }, { "completion_tokens", job->end } };
+    const nlohmann::json usage
+        = { { "prompt_tokens", job->prompt.size() / bytesPerToken }, { "completion_tokens", job->endToken } };
     const nlohmann::json answer = { { "id", "chatcmpl-" + job->id }, { "object", "chat.completion" }, { "created", 0 },
                                     { "model", job->model },         { "choices", { choice } },       { "usage", usage } };
     response.set_content(answer.dump(), "application/json");
@@ -210,7 +211,7 @@
 
 void EngineStandIn::stream(std::shared_ptr<Job> job, httplib::Response &response)
 {
-    const auto provide = [this, job](std::size_t, httplib::DataSink &sink) {
+    const auto sendNext = [this, job](std::size_t, httplib::DataSink &sink) {
         const auto send = [&](const std::string &data) {
             const std::string event = "data: " + data + "\n\n";
             return sink.write(event.data(), event.size());
@@ -225,19 +226,19 @@
                 { "choices", { choice } }
             }.dump();
         };
-        if (job->next >= job->end) {
+        if (job->nextToken >= job->endToken) {
             send(chunk(nlohmann::json::object(), "stop"));
             send("[DONE]");
             sink.done();
             return true;
         }
-        waitWhileHeld(job->next);
+        waitWhileHeld(job->nextToken);
         {
             const std::lock_guard lock(mutex_);
             if (stopping_ || (breakAfter_ && job->produced >= *breakAfter_)) {
-                // Half an event leaves before the break, as it does when a machine dies.
-                const std::string half = "data: {\"id\":\"chatc";
-                sink.write(half.data(), half.size());
+                // A truncated event is sent before the connection breaks, as by a machine that crashes.
+                const std::string truncatedEvent = "data: {\"id\":\"chatc";
+                sink.write(truncatedEvent.data(), truncatedEvent.size());
                 return false;
             }
             ++tokens_;
@@ -246,15 +247,15 @@
             std::this_thread::sleep_for(config_.tokenTime);
         }
         ++job->produced;
-        return send(chunk({ { "content", wordOf(job->prompt, job->next++) } }, nullptr));
+        return send(chunk({ { "content", tokenText(job->prompt, job->nextToken++) } }, nullptr));
     };
-    const auto release = [this, job](bool whole) {
+    const auto endStream = [this, job](bool completed) {
         releaseSlot();
         const std::lock_guard lock(mutex_);
-        cancelled_ += whole || breakAfter_ ? 0 : 1;
+        cancelled_ += completed || breakAfter_ ? 0 : 1;
         changed_.notify_all();
     };
-    response.set_chunked_content_provider("text/event-stream", provide, release);
+    response.set_chunked_content_provider("text/event-stream", sendNext, endStream);
 }
 
 void EngineStandIn::load(httplib::Response &response)
@@ -275,7 +276,7 @@
     response.set_content(report.dump(), "application/json");
 }
 
-void EngineStandIn::takeOrder(const httplib::Request &request, httplib::Response &response)
+void EngineStandIn::receiveOrder(const httplib::Request &request, httplib::Response &response)
 {
     const nlohmann::json body = nlohmann::json::parse(request.body, nullptr, false);
     if (!body.is_object()) {
@@ -300,8 +301,8 @@
     unsigned &queued = interactive ? queuedInteractive_ : queuedDeferrable_;
     ++queued;
     changed_.wait(lock, [&] {
-        const bool first = interactive || queuedInteractive_ == 0;
-        return stopping_ || (running_ < config_.slots && first);
+        const bool mayStart = interactive || queuedInteractive_ == 0;
+        return stopping_ || (running_ < config_.slots && mayStart);
     });
     --queued;
     if (stopping_) {
--- a/src/standins/engine_standin.h
+++ b/src/standins/engine_standin.h
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A small stand-in for a model engine: bounded batch, prefix cache, priorities, resume, cancel, load reports, fenced orders.
+/// A stand-in for a model engine with slots, a prefix cache, priorities, resumed and cancelled streams, load reports and fenced
+/// orders.
 #pragma once
 
 #include "portpaddle/base/http_server.h"
@@ -18,7 +19,7 @@
 
 namespace Portpaddle {
 
-/// How the stand-in behaves.
+/// Capacity, speed and behaviour of the stand-in. A prefill rate of zero takes no time.
 struct EngineStandInConfig
 {
     unsigned slots = 8;
@@ -26,11 +27,12 @@
     Millis tokenTime{ 0 };
     double prefillTokensPerSecond = 0;
     std::size_t cachedPrefixes = 64;
+    /// The age that a load report reaches before the next one is made.
     Millis reportLag{ 0 };
     bool checksFence = true;
 };
 
-/// An order as the engine received it.
+/// An order as the engine received it, and whether its fence allowed it.
 struct ReceivedOrder
 {
     std::string order;
@@ -39,7 +41,7 @@
     bool accepted = false;
 };
 
-/// Serves chat completions whose text depends on the prompt alone, so that a resumed stream can be compared.
+/// Serves chat completions whose text depends only on the prompt, so that a test can compare a resumed stream with a whole one.
 class EngineStandIn
 {
 public:
@@ -50,13 +52,13 @@
     void stop();
 
     void setLeaving(bool leaving);
-    /// Streams break after this many tokens of theirs; none lets them run.
+    /// Breaks each stream after it has sent @p tokens tokens; without a value streams run to their end.
     void breakAfter(std::optional<unsigned> tokens);
-    /// While held, no stream gets beyond @p tokens; none releases all.
+    /// Pauses each request before the token with index @p tokens; without a value all requests continue.
     void holdAt(std::optional<unsigned> tokens);
-    /// Waits until @p count requests run.
+    /// Waits until at least @p count requests run.
     void awaitRunning(unsigned count);
-    /// Waits until @p count requests were cancelled by their callers.
+    /// Waits until callers have cancelled at least @p count requests.
     void awaitCancelled(unsigned count);
 
     unsigned started() const;
@@ -65,7 +67,7 @@
     unsigned tokensProduced() const;
     unsigned cancelled() const;
     std::vector<ReceivedOrder> orders() const;
-    /// The whole text that the stand-in answers to a prompt.
+    /// Returns the whole answer of @p tokens tokens to a prompt.
     static std::string answerText(const std::string &prompt, unsigned tokens);
 
 private:
@@ -75,7 +77,7 @@
     void chat(const httplib::Request &request, httplib::Response &response);
     void stream(std::shared_ptr<Job> job, httplib::Response &response);
     void load(httplib::Response &response);
-    void takeOrder(const httplib::Request &request, httplib::Response &response);
+    void receiveOrder(const httplib::Request &request, httplib::Response &response);
     bool acquireSlot(bool interactive);
     void releaseSlot();
     void prefill(const Job &job);
--- a/src/standins/plain_standin.cpp
+++ b/src/standins/plain_standin.cpp
@@ -96,14 +96,14 @@
         fault = fault_;
     }
     if (fault == PlainFault::CutAnswer) {
-        constexpr std::size_t promised = 100;
-        response.set_content_provider(promised, "application/json",
+        constexpr std::size_t declaredLength = 100;
+        response.set_content_provider(declaredLength, "application/json",
                                       [](std::size_t, std::size_t, httplib::DataSink &) { return false; });
         return;
     }
     if (fault == PlainFault::HugeAnswer) {
-        constexpr std::size_t hugeAnswer = 17 * 1024 * 1024;
-        response.set_content(std::string(hugeAnswer, 'x'), "text/plain");
+        constexpr std::size_t answerBytes = 17 * 1024 * 1024;
+        response.set_content(std::string(answerBytes, 'x'), "text/plain");
         return;
     }
     const std::string status = request.get_header_value("X-Want-Status");
--- a/src/standins/plain_standin.h
+++ b/src/standins/plain_standin.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A small stand-in for a plain service: echoes calls and counts how often each ran.
+/// A stand-in for a plain service that echoes calls and counts how often each of them ran.
 #pragma once
 
 #include "portpaddle/base/http_server.h"
@@ -13,18 +13,18 @@
 
 namespace Portpaddle {
 
-/// What happens to the next calls.
+/// A fault that applies to the next calls.
 enum class PlainFault {
     None,
-    /// The call runs, its answer is cut.
+    /// The call runs, and the connection breaks before the end of its answer.
     CutAnswer,
-    /// The call runs and its answer is larger than a gateway passes on whole.
+    /// The call runs, and its answer exceeds the size up to which a gateway passes on a whole answer.
     HugeAnswer,
-    /// The call runs when released.
+    /// The call counts as run, and its answer waits until another fault is set.
     Hold,
 };
 
-/// Counts runs by repeat key, or by method and path where there is none.
+/// Counts runs by idempotency key, or by method and path for a call without a key.
 class PlainStandIn
 {
 public:
@@ -37,6 +37,7 @@
     void setLeaving(bool leaving);
     unsigned runs(const std::string &key) const;
     unsigned allRuns() const;
+    /// Waits until at least @p count calls have run.
     void awaitRuns(unsigned count);
 
 private:
--- a/src/standins/platform_standin.cpp
+++ b/src/standins/platform_standin.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr std::size_t platformThreads = 512;
-constexpr std::size_t largestBody = 4 * 1024 * 1024;
+constexpr std::size_t maxBodyBytes = 4 * 1024 * 1024;
 
-nlohmann::json failed(const Error &error)
+nlohmann::json errorReply(const Error &error)
 {
     return { { "error", toJson(error) } };
 }
@@ -23,7 +23,7 @@
 nlohmann::json valuesReply(const Result<std::vector<KeyValue>> &result)
 {
     if (!isOk(result)) {
-        return failed(errorOf(result));
+        return errorReply(errorOf(result));
     }
     nlohmann::json values = nlohmann::json::array();
     for (const KeyValue &value : valueOf(result)) {
@@ -34,10 +34,10 @@
 
 nlohmann::json statusReply(const Status &status)
 {
-    return isOk(status) ? nlohmann::json::object() : failed(errorOf(status));
+    return isOk(status) ? nlohmann::json::object() : errorReply(errorOf(status));
 }
 
-std::uint64_t numberIn(const nlohmann::json &json, const char *name)
+std::uint64_t numberField(const nlohmann::json &json, const char *name)
 {
     return json.value(name, std::uint64_t{ 0 });
 }
@@ -46,7 +46,7 @@
 
 PlatformStandIn::PlatformStandIn(const Clock &clock)
     : platform_(clock)
-    , server_("platform", HttpServerLimits{ .maximumThreads = platformThreads, .maximumBodyBytes = largestBody })
+    , server_("platform", HttpServerLimits{ .maximumThreads = platformThreads, .maximumBodyBytes = maxBodyBytes })
 {
     addRoutes();
 }
@@ -72,37 +72,37 @@
     addOperation("/platform/get", [this](const nlohmann::json &arguments) -> nlohmann::json {
         const Result<std::optional<KeyValue>> found = platform_.get(arguments.value("key", ""));
         if (!isOk(found)) {
-            return failed(errorOf(found));
+            return errorReply(errorOf(found));
         }
         return valueOf(found) ? nlohmann::json{ { "found", toJson(*valueOf(found)) } } : nlohmann::json::object();
     });
     addOperation("/platform/put", [this](const nlohmann::json &arguments) -> nlohmann::json {
         const Result<std::uint64_t> written = platform_.put(arguments.value("key", ""), arguments.value("value", ""),
-                                                            numberIn(arguments, "expected"), numberIn(arguments, "lease"));
-        return isOk(written) ? nlohmann::json{ { "revision", valueOf(written) } } : failed(errorOf(written));
+                                                            numberField(arguments, "expected"), numberField(arguments, "lease"));
+        return isOk(written) ? nlohmann::json{ { "revision", valueOf(written) } } : errorReply(errorOf(written));
     });
     addOperation("/platform/remove", [this](const nlohmann::json &arguments) {
-        return statusReply(platform_.remove(arguments.value("key", ""), numberIn(arguments, "expected")));
+        return statusReply(platform_.remove(arguments.value("key", ""), numberField(arguments, "expected")));
     });
     addOperation("/platform/list", [this](const nlohmann::json &arguments) {
         return valuesReply(
-            platform_.list(arguments.value("prefix", ""), arguments.value("after", ""), numberIn(arguments, "limit")));
+            platform_.list(arguments.value("prefix", ""), arguments.value("after", ""), numberField(arguments, "limit")));
     });
     addOperation("/platform/watch", [this](const nlohmann::json &arguments) {
-        return valuesReply(platform_.watch(arguments.value("prefix", ""), numberIn(arguments, "after_revision"),
-                                           Millis{ numberIn(arguments, "timeout_ms") }));
+        return valuesReply(platform_.watch(arguments.value("prefix", ""), numberField(arguments, "after_revision"),
+                                           Millis{ numberField(arguments, "timeout_ms") }));
     });
     addOperation("/platform/lease_grant", [this](const nlohmann::json &arguments) -> nlohmann::json {
-        const Result<LeaseGrant> granted = platform_.grantLease(Millis{ numberIn(arguments, "ttl_ms") });
-        return isOk(granted) ? nlohmann::json{ { "lease", valueOf(granted).id } } : failed(errorOf(granted));
+        const Result<LeaseGrant> granted = platform_.grantLease(Millis{ numberField(arguments, "ttl_ms") });
+        return isOk(granted) ? nlohmann::json{ { "lease", valueOf(granted).id } } : errorReply(errorOf(granted));
     });
     addOperation("/platform/lease_keep_alive", [this](const nlohmann::json &arguments) {
-        return statusReply(platform_.keepAlive(numberIn(arguments, "lease")));
+        return statusReply(platform_.keepAlive(numberField(arguments, "lease")));
     });
     addOperation("/platform/vms", [this](const nlohmann::json &) -> nlohmann::json {
         const Result<std::vector<VmEntry>> listed = platform_.vms();
         if (!isOk(listed)) {
-            return failed(errorOf(listed));
+            return errorReply(errorOf(listed));
         }
         nlohmann::json vms = nlohmann::json::array();
         for (const VmEntry &entry : valueOf(listed)) {
@@ -113,7 +113,7 @@
     addOperation("/platform/client", [this](const nlohmann::json &arguments) -> nlohmann::json {
         const Result<std::optional<ClientRecord>> found = platform_.find(arguments.value("digest", ""));
         if (!isOk(found)) {
-            return failed(errorOf(found));
+            return errorReply(errorOf(found));
         }
         return { { "organisation", valueOf(found) ? valueOf(found)->organisation : "" } };
     });
--- a/src/standins/platform_standin.h
+++ b/src/standins/platform_standin.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A small stand-in for the platform's services over HTTP, with its faults.
+/// A stand-in for the platform's services over HTTP that can simulate their faults.
 #pragma once
 
 #include "portpaddle/base/http_server.h"
@@ -15,7 +15,7 @@
 
 class Clock;
 
-/// Serves a MemoryPlatform; operators of trials reach its faults under /control.
+/// Serves a MemoryPlatform. Requests under /control set its faults, VMs and clients.
 class PlatformStandIn
 {
 public:
