--- a/src/portpaddle/control/order_controller.cpp
+++ b/src/portpaddle/control/order_controller.cpp
@@ -128,7 +128,7 @@
         return;
     }
     if (fence_ != 0 && askedAt < provenUntil_) {
-        // The platform may just be slow: the lease still holds, but only until the time that was proved before.
+        // The platform may only be slow: the lease is still valid, but not beyond the expiry of the last confirmed extension.
         return;
     }
     acquire();
--- a/src/portpaddle/fleet/load_aggregation.cpp
+++ b/src/portpaddle/fleet/load_aggregation.cpp
@@ -19,7 +19,7 @@
 // Each shard sends digests to other regions only once in this many turns: the digests cost bandwidth between regions, and only
 // decisions to forward requests depend on them.
 constexpr std::size_t regionDigestTurns = aggregationShards;
-// Limit per shard and interval. Parts beyond it are still found at the upstreams that the ranking of prompt homes expects.
+// Limit per shard and interval. Further parts are still found at the upstreams that prefix affinity ranks first.
 constexpr std::size_t maxPartsPerShard = 4 * maxDigestParts;
 
 void addPart(std::vector<Wire::PlacedPart> &parts, const Wire::PlacedPart &part)
--- a/src/portpaddle/fleet/relayed_store.cpp
+++ b/src/portpaddle/fleet/relayed_store.cpp
@@ -27,9 +27,8 @@
 // Added to the time for which an answer may wait: a small VM may stall for some hundred milliseconds.
 constexpr Millis readTimeoutMargin{ 700 };
 constexpr std::chrono::milliseconds avoidTime{ 1'000 };
-// Limit for a waiting call to the store after all sources failed, because they may be available again. The answer of the store
-// may be lost, which shows only when the call times out some seconds later: with a limit of 5 s, a daemon missed a configuration
-// for 5.7 s after the store had lost answers.
+// Limit for a waiting call to the store after all sources failed, so that recovered sources are tried again soon. A lost answer
+// of the store shows only at this timeout: with 5 s, a daemon missed a configuration for 5.7 s.
 constexpr Millis maxDirectWait{ 1'000 };
 // Delay before the store is called again if it failed as well.
 constexpr std::chrono::milliseconds storeRetryDelay{ 1'500 };
--- a/src/portpaddle/fleet/role_ranking.cpp
+++ b/src/portpaddle/fleet/role_ranking.cpp
@@ -20,7 +20,8 @@
     const DaemonRecord *daemon = nullptr;
 };
 
-/// The cube ranks a few VMs of half a core before a hundred of an eighth of a core, which would spend a tenth of it on this work.
+/// Returns the cube of the cores, so that a few VMs with half a core rank before a hundred with an eighth of a core. The latter
+/// would spend a tenth of their processor time on this work.
 double weightOf(const DaemonRecord &daemon)
 {
     const double cores = daemon.cpuCores > 0 ? daemon.cpuCores : unknownCpuCores;
--- a/src/portpaddle/gateway/cold_gate.cpp
+++ b/src/portpaddle/gateway/cold_gate.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// The second over which the bound is counted, plus a margin for requests that were delayed on their way.
+// Window of 1 s over which the bound is counted, plus 150 ms for requests delayed on their way.
 constexpr std::chrono::milliseconds window{ 1'150 };
-// A new owner waits before it sends, so that two owners overlap only where one of them receives no digests, and for as long as
-// that lasts.
+// Number of owners that may send at once. A new owner waits before it sends, so two owners overlap only while one of them
+// receives no digests.
 constexpr double ownersAtOnce = 2;
 
 } // namespace
@@ -29,15 +29,16 @@
     if (equalShare >= 1) {
         return equalShare;
     }
-    // Daemons whose counts differ by a few must not apply different rules at the same time.
+    // Daemons that disagree by a few on the number of daemons must not apply different rules, so an owner is used only from twice
+    // the bound on.
     const bool manyDaemons = options_.daemons >= 2 * bound;
     return owner && manyDaemons ? std::floor(bound / ownersAtOnce) : 0;
 }
 
 bool ColdGate::allows(const std::string &upstream, double perSecond, bool owner, SteadyTime now)
 {
-    // A daemon that restarts within a second has spent its share already, and so have all others that lost power with it; before
-    // they are listed each of them would divide the bound by itself alone.
+    // Daemons that restart within a second may have spent their shares already, and so may all that lost power with them. Until
+    // all are listed, each would count itself as the only daemon and take the whole bound.
     if (!options_.listedSince || now < *options_.listedSince + window) {
         return false;
     }
--- a/src/portpaddle/gateway/cold_gate.h
+++ b/src/portpaddle/gateway/cold_gate.h
@@ -23,7 +23,7 @@
     double slack = 0;
     /// Daemons that may send to the upstream at the same time.
     unsigned daemons = 1;
-    /// Since when other daemons can know that this process is one of them; no value where they cannot.
+    /// Time since which this process is on the list of daemons, so that others can count it; no value while it is not listed.
     std::optional<SteadyTime> listedSince;
 };
 
--- a/src/portpaddle/gateway/exchange.h
+++ b/src/portpaddle/gateway/exchange.h
@@ -63,13 +63,13 @@
     Millis retryAfterFor(const AttemptReport &report);
     void interrupt(Interruption reason);
     Task<void> runAttempts();
-    /// Continues a broken run at the engine to which its memory was moved, and does so again after each further move.
+    /// Continues a broken run at the engine to which its memory was moved, and again after each further move.
     Task<AttemptReport> continueMovedRun(AttemptReport report, const Target &target);
     /// Waits for another daemon in the region of @p ending; returns no value if none is known in time.
     Task<std::optional<Target>> awaitOtherDaemon(const DaemonRecord &ending);
     /// Returns the engine at which the request's continuation resumes; not servable if this region does not know the engine.
     Target continuationTarget();
-    /// Ends the answer with the place at which the forwarding daemon can have the stream continued.
+    /// Ends the answer with a trailer that names where the forwarding daemon can resume the stream.
     Task<void> handOver(const MovedRun &moved);
     Task<AttemptReport> attempt(const Target &target);
     Target chooseTarget();
@@ -147,13 +147,13 @@
     std::string memoryFrom_;
     /// The continuation that a daemon of another region resumes, or that this daemon was asked to resume.
     std::optional<Continuation> continuation_;
-    /// The forwarding daemon has the rest of the stream continued.
+    /// Whether the stream was handed over to the forwarding daemon, which lets it continue elsewhere.
     bool handedOver_ = false;
     UpstreamAttempt *current_ = nullptr;
     Interruption interruption_ = Interruption::None;
     /// Ids of the upstreams and names of the regions asked so far.
     std::vector<std::string> tried_;
-    /// The targets asked so far, for the log; a region is followed by its daemon.
+    /// Targets asked so far, for the log; another region as "REGION/DAEMON".
     std::string askedTargets_;
     /// Number of times that any daemon sent the request to an upstream.
     unsigned sends_ = 0;
--- a/src/portpaddle/gateway/exchange_attempt.cpp
+++ b/src/portpaddle/gateway/exchange_attempt.cpp
@@ -21,7 +21,8 @@
 constexpr Millis remoteConnectTimeout{ 800 };
 // Approximate one-way latency between regions.
 constexpr Millis interRegionLatency{ 55 };
-// Requests that crashed an upstream did so 48 to 82 ms after the upstream began to run them, before their first event.
+// Runs longer than this are not reported as possible causes of a crash: requests that crashed an upstream did so 48 to 82 ms
+// after it began to run them, before their first event.
 constexpr Millis crashSuspicionTime{ 250 };
 // The least urgent priority that upstreams know.
 constexpr unsigned lowestPriority = 9;
@@ -159,7 +160,7 @@
         if (target.upstream) {
             gateway_.loads_.connectFailed(target.upstream->id, now);
         } else {
-            gateway_.regions_.unreachable(target.daemon->id, now);
+            gateway_.regions_.markUnreachable(target.daemon->id, now);
         }
     }
     if (target.upstream && report.connectionRefused) {
--- a/src/portpaddle/gateway/fleet_registry.cpp
+++ b/src/portpaddle/gateway/fleet_registry.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Upstreams whose lease expired during an outage of the store register again within about two seconds of its return.
+// Upstreams whose lease expired during an outage of the store register again within about two seconds after the store has
+// returned.
 constexpr std::chrono::milliseconds expiryGrace{ 2'300 };
 
 } // namespace
@@ -193,7 +194,8 @@
     const std::lock_guard lock(mutex_);
     std::erase_if(quarantined_, [&requests](const auto &item) { return !requests.contains(item.first); });
     for (const RequestFingerprint &request : requests) {
-        // A listing does not contain the age of a record: it is taken as old enough to be renewed when the request comes.
+        // A listing does not contain the age of a record. The record is assumed to be at half of its lifetime, so that it is
+        // renewed when the request is received again.
         quarantined_.emplace(request, now - quarantineTime / 2);
     }
     publish();
@@ -243,7 +245,7 @@
     if (storeReachable_) {
         return;
     }
-    // At the first contact no record that this daemon knew can have expired.
+    // At the first contact no grace is needed: this daemon has not known any record whose lease could have expired in an outage.
     graceUntil_ = everReachable_ ? now + expiryGrace : now;
     storeReachable_ = true;
     everReachable_ = true;
@@ -270,7 +272,8 @@
     return found != daemons_.end() && !found->second.expiresAt;
 }
 
-// A view is a copy of all records: a restart of half of the daemons must not create one for each of them.
+// A view is a copy of all records. Changes are published in batches, because a restart of half of the daemons would otherwise
+// create one view per daemon.
 void FleetRegistry::publish()
 {
     publishPending_ = inBatch_;
--- a/src/portpaddle/gateway/fleet_registry.h
+++ b/src/portpaddle/gateway/fleet_registry.h
@@ -31,8 +31,8 @@
     void listUpstreams(std::vector<UpstreamRecord> records, SteadyTime now);
     void changeUpstream(UpstreamRecord record);
     void removeUpstream(const std::string &name, SteadyTime now);
-    /// Removes the upstream registered as @p name, whose record cannot be read, until it can be read again; also during an outage
-    /// of the store.
+    /// Treats the record registered as @p name as unreadable: removes the upstream at once, also during an outage of the store,
+    /// until the record can be read again.
     void rejectUpstream(const std::string &name);
     void listEvacuations(std::set<std::string> dataCentres);
     void changeEvacuation(const std::string &dataCentre, bool evacuated);
@@ -85,7 +85,7 @@
     bool everReachable_ = false;
     bool inBatch_ = false;
     bool publishPending_ = false;
-    /// Removals before this may be expired leases of an outage.
+    /// Until this time a removed record may only have lost its lease during an outage of the store, so it is kept.
     SteadyTime graceUntil_{};
 };
 
--- a/src/portpaddle/gateway/gateway.cpp
+++ b/src/portpaddle/gateway/gateway.cpp
@@ -94,8 +94,9 @@
     updateRetryBudget(BootClock::now());
 }
 
-/// Divides by data centre first: their number is known from the start, and the daemons of one data centre are seldom cut off from
-/// each other, so a daemon that knows only its own data centre does not spend the shares of the others.
+/// Divides the extra retries by data centre first, because the number of data centres is known from the start. The daemons of one
+/// data centre are seldom cut off from each other, so a daemon that knows only its own data centre does not spend the shares of
+/// the others.
 unsigned Gateway::retryDivisor() const
 {
     return options_.dataCentres * retryMembers_.count(BootClock::now());
@@ -217,8 +218,8 @@
     noteAnswer(asked, notice, BootClock::now());
 }
 
-/// Addresses are reused, and an answer must not count for an incarnation at another address. An incarnation that is not listed is
-/// sent nothing, and repeats its notice once it is listed.
+/// Addresses are reused, so an answer counts only for the incarnation listed at the address it came from. The notice of an
+/// unlisted incarnation is ignored: the incarnation is sent no requests, and it repeats the notice once listed.
 const std::string *Gateway::answeringIncarnation(const UpstreamRecord &asked, const AnswerNotice &notice) const
 {
     if (notice.incarnation.empty() || notice.incarnation == asked.registeredName) {
@@ -263,8 +264,8 @@
     return std::max(regions_.daemonsInOwnRegion(), listedInOwnRegion_) + spareDaemons;
 }
 
-/// A daemon's record outlives it by the rest of its lease; without this an upstream whose owner has died would be sent nothing
-/// for that long.
+/// Leaves out silent daemons: the record of a dead daemon remains until its lease expires, and an upstream that it owned would be
+/// sent nothing until then.
 void Gateway::updateOwners(SteadyTime now)
 {
     std::vector<std::uint64_t> members;
--- a/src/portpaddle/gateway/gateway.h
+++ b/src/portpaddle/gateway/gateway.h
@@ -60,10 +60,11 @@
     std::chrono::milliseconds listSettling{ 3'000 };
     /// How long a request waits for the first configuration after a start. A healthy store answers in milliseconds.
     std::chrono::milliseconds configurationWait{ 300 };
-    /// Runs are moved this long before their upstream ends: a copy takes some ten milliseconds, several follow one another, and
-    /// the tick is 100 ms.
+    /// Runs are moved this long before their upstream ends: a copy takes about ten milliseconds, several copies run one after
+    /// the other, and the check runs every 100 ms.
     std::chrono::milliseconds moveLead{ 500 };
-    /// Streams of other daemons are handed over this long before this daemon ends; the link adds one more way.
+    /// Streams of other daemons are handed over this long before this daemon ends: longer than moveLead, because the
+    /// link adds one more one-way latency.
     std::chrono::milliseconds handOverLead{ 800 };
     /// Minimum time for which a leaving upstream serves after its announcement.
     std::chrono::milliseconds drainBound{ 3'000 };
--- a/src/portpaddle/gateway/gateway_choice.cpp
+++ b/src/portpaddle/gateway/gateway_choice.cpp
@@ -20,8 +20,8 @@
 constexpr double retrySpread = 0.5;
 
 /// Subtracts the mean failure share from each candidate: requests that fail wherever they run say nothing about the upstream, and
-/// sending them to another region adds a round trip. Without this, seven in ten calls of a service that answers 6 in 100 with an
-/// error of its own went to other regions, at 150 ms instead of 20.
+/// sending them to another region adds a round trip. Without this, a service that answers 6 % of its calls with its own errors
+/// had 70 % of its calls sent to other regions, at 150 ms instead of 20 ms.
 void compareFailures(std::vector<UpstreamCandidate> &candidates)
 {
     double sum = 0;
--- a/src/portpaddle/gateway/gateway_server.cpp
+++ b/src/portpaddle/gateway/gateway_server.cpp
@@ -20,8 +20,8 @@
 constexpr std::chrono::milliseconds tickInterval{ 100 };
 // At each tick, at least this many daemons of this region are sent the load; if there are more, they take turns.
 constexpr std::size_t minLocalPeersPerTick = 4;
-// All daemons of this region are sent the load within this many ticks. At its peak, an engine accepts about four long prompts
-// in that time.
+// All daemons of this region are sent the load within this many ticks; an engine at its peak accepts about four long prompts in
+// that time, so that many placements at most are based on older data.
 constexpr std::size_t ticksPerLocalRound = 3;
 // Daemons of other regions are sent the load less often: digests cost traffic between regions and only affect which requests
 // are forwarded.
--- a/src/portpaddle/gateway/placement.cpp
+++ b/src/portpaddle/gateway/placement.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Between two chunks of a prompt an engine generates one token for each running request; the documentation of the engines gives
-// 3.2 ms for a step, and measured steps grow by some hundredths of a millisecond for each request in the batch.
+// Duration of one engine step, which generates one token for each running request between two prompt chunks. The engines'
+// documentation gives 3.2 ms; measured steps grow by some hundredths of a millisecond per request in the batch.
 constexpr double decodeStepMs = 3.2;
 constexpr double decodeStepMsPerRunning = 0.05;
 // Prompt tokens prefilled between two steps; engines prefill prompts in chunks of about this size.
--- a/src/portpaddle/gateway/placement.h
+++ b/src/portpaddle/gateway/placement.h
@@ -89,7 +89,7 @@
     double sharedTokens = 0;
     double memoryTokens = 0;
     Urgency urgency = Urgency::Usual;
-    /// Whether the request is prefilled last where it misses its target anyway.
+    /// Whether a request that is predicted to miss its target is prefilled after all others.
     bool lateLast = true;
     /// Time left until the target latency.
     double remainingTargetMs = 0;
--- a/src/portpaddle/gateway/policy_settings.cpp
+++ b/src/portpaddle/gateway/policy_settings.cpp
@@ -28,7 +28,7 @@
     const char *meaning;
 };
 
-// A delay of a minute outweighs everything else, and so does a multiple of a thousand.
+// Upper bounds of settings: a delay of a minute or a multiple of a thousand already outweighs all other costs.
 constexpr double maxMs = 60'000;
 constexpr double maxMultiple = 1'000;
 
--- a/src/portpaddle/gateway/prefix_affinity.cpp
+++ b/src/portpaddle/gateway/prefix_affinity.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 // The shared parts of a prompt have one preferred region, so that they are prefilled once in all, and two preferred upstreams in
-// each region, so that load can be balanced between them. Each value is the share of the shared tokens that is expected to be
-// cached there.
+// each region, so that load can be balanced between them. Each constant is the fraction of the shared tokens expected in
+// the cache of that region or upstream.
 constexpr std::array cachedInPreferredRegion{ 0.9, 0.6 };
 constexpr std::array cachedInOtherRegion{ 0.3, 0.2 };
 
--- a/src/portpaddle/gateway/region_table.cpp
+++ b/src/portpaddle/gateway/region_table.cpp
@@ -24,13 +24,14 @@
 constexpr std::chrono::milliseconds firstDigestTimeout{ 3'000 };
 // Each request asks for every region; iterating over a few hundred daemons each time took most of the time of a choice.
 constexpr std::chrono::milliseconds usableCacheTime{ 50 };
-// Datagrams are lost now and then and small VMs pause, but not for as many digests in a row as this.
+// A daemon counts as silent after this many missing digests in a row; lost datagrams and pauses of small VMs rarely last that
+// long.
 constexpr int maxMissedDigests = 7;
 constexpr std::chrono::milliseconds minSilenceBound{ 800 };
-// The table of a region's prompt parts counts only shared parts; parts that belong to one request also take memory of the engines
-// and evict shared ones. Each kind makes up about half of the tokens, so this share of the memory remains for shared parts.
+// Fraction of the engines' memory assumed for shared parts, the only ones in the table of a region's prompt parts. Parts of
+// single requests, about half of all tokens, also take memory and evict shared ones.
 constexpr double sharedPartShare = 0.3;
-// A daemon that vanished may return within this time and spend its share of a bound at once.
+// A daemon that vanished is counted for this time, because it may return and spend its share of a bound at once.
 constexpr std::chrono::milliseconds countedPeerAge{ 20'000 };
 // Ten times the daemons of the largest planned fleet; datagrams under further names are dropped.
 constexpr std::size_t maxPeers = 4'096;
@@ -155,7 +156,7 @@
     return daemonsInOwnRegion_;
 }
 
-void RegionTable::unreachable(const std::string &daemon, SteadyTime now)
+void RegionTable::markUnreachable(const std::string &daemon, SteadyTime now)
 {
     peers_[daemon].avoidedUntil = now + avoidanceTime;
     usableDaemons_.clear();
--- a/src/portpaddle/gateway/region_table.h
+++ b/src/portpaddle/gateway/region_table.h
@@ -45,7 +45,7 @@
     /// Counts the daemons of the own region again; call a few times a second.
     void tick(SteadyTime now);
     /// Records that a daemon did not answer a request; it is avoided for a moment.
-    void unreachable(const std::string &daemon, SteadyTime now);
+    void markUnreachable(const std::string &daemon, SteadyTime now);
     /// Returns whether the daemon is listed or was heard from, but is not heard from any more.
     bool fellSilent(const std::string &daemon, SteadyTime now) const;
     /// Returns the phase that the daemon last reported; Serving before any report.
--- a/src/portpaddle/gateway/run_move.cpp
+++ b/src/portpaddle/gateway/run_move.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A move that takes longer waits behind others, or its engine is gone.
+// A move is given up after this time: it then waits behind other moves, or its engine is gone.
 constexpr std::chrono::milliseconds maxMoveTime{ 1'500 };
 
 } // namespace
--- a/src/portpaddle/gateway/service_map.cpp
+++ b/src/portpaddle/gateway/service_map.cpp
@@ -14,7 +14,8 @@
 
 constexpr NameTable<RouteKind, 3> kindNames{ { "idempotent", "non_idempotent", "stream" } };
 
-// Derived from the platform's documentation of callers that wait for an event.
+// How long callers wait for the first event of a stream: at least the minimum, or the given multiples of the target latency and
+// of the longest pause if longer. Derived from the platform's documentation of callers.
 constexpr Millis minFirstEventTimeout{ 2'000 };
 constexpr int timeoutPerTargetLatency = 4;
 constexpr int timeoutPerLongestPause = 8;
--- a/src/portpaddle/gateway/stop_rules.cpp
+++ b/src/portpaddle/gateway/stop_rules.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A request is refused if its predicted duration exceeds the time left by this factor. Predictions are rough: at 1.0, four of
-// five refused streams would have completed.
+// A request is refused if its predicted duration is more than this multiple of the time left. Predictions are rough: with a
+// factor of 1.0, 80 % of the refused streams would have completed.
 constexpr double predictionTolerance = 1.6;
 
 } // namespace
--- a/src/portpaddle/gateway/store_watcher.cpp
+++ b/src/portpaddle/gateway/store_watcher.cpp
@@ -16,15 +16,17 @@
 constexpr Millis initialBackoff{ 100 };
 constexpr Millis maxBackoff{ 400 };
 constexpr unsigned maxDoublings = 4;
-// Changes come in bursts and each watch call is paid for: the next call takes what was collected meanwhile. Short enough for the
-// three seconds within which leaving upstreams and configurations must take effect.
+// Changes come in bursts and each watch call is paid for: the next call takes what was collected meanwhile. The delay is short
+// enough for leaving upstreams and configurations to take effect within three seconds.
 constexpr Millis usualCoalescingDelay{ 500 };
-// Changes relayed by another daemon were already collected there.
+// Delay for changes relayed by another daemon, which has already coalesced them.
 constexpr Millis relayedCoalescingDelay{ 100 };
-// Two rounds find a lost answer well within the few seconds that a configuration may take; each costs a tenth of a watch call.
+// Two rounds of the check detect a lost answer well within the few seconds in which a configuration must take effect. Each round
+// costs a tenth of a watch call.
 constexpr Millis verifyInterval{ 1'200 };
 constexpr Millis verifyStep{ 100 };
-// Daemons that relay changes answer each second; after this silence the watch may be one of the store itself.
+// Daemons that relay changes answer each second. After a longer silence the watch call may have gone to the store itself, so the
+// check is made again.
 constexpr Millis maxRelaySilence{ 2'000 };
 // Time between two fetches from peers: a configuration must be in force within a few seconds, and a state of some hundred routes
 // has 100 KB.
@@ -147,7 +149,7 @@
         if (feed_ != nullptr && isOk(newest) && !behind && !relayed_) {
             feed_->confirm(BootClock::now());
         }
-        // Behind twice at the same revision: the answer was lost.
+        // The watch was behind the store at the same revision in two checks in a row, so the answer of the watch call was lost.
         if (behind && behindAt == known) {
             store_.interrupt();
             behindAt = 0;
--- a/src/portpaddle/gateway/upstream_loads.cpp
+++ b/src/portpaddle/gateway/upstream_loads.cpp
@@ -36,7 +36,7 @@
 // An upstream without requests is reported as idle for this long, since some digests are lost.
 constexpr std::chrono::milliseconds idleReportTime{ 1'000 };
 constexpr double learningRate = 0.1;
-// Some dozen streams at an upstream give a sample of the time between tokens many times a second.
+// Weight of a new sample in the average time between tokens; some dozen streams at an upstream give a sample many times a second.
 constexpr double tokenMsLearningRate = 0.03;
 // After this time without events the batch has changed.
 constexpr std::chrono::milliseconds maxTokenMsAge{ 1'000 };
--- a/src/portpaddle/gateway/upstream_loads.h
+++ b/src/portpaddle/gateway/upstream_loads.h
@@ -114,7 +114,7 @@
         unsigned failuresInRow = 0;
         SteadyTime avoidUntil{};
         SteadyTime lastHeard{};
-        /// Sending time of the oldest request since which the upstream has sent nothing.
+        /// Time at which the oldest request was sent that the upstream has not reacted to; outdated if lastHeard is not earlier.
         SteadyTime silentSince{};
     };
 
--- a/src/portpaddle/limits/region_limit.cpp
+++ b/src/portpaddle/limits/region_limit.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-// A positive level is spent and a negative one paid back over this time. It is longer than digests need within a region, so that
-// the daemons do not oscillate together.
+// Time over which a positive bucket level is spent or a negative one is paid back. It exceeds the delay of digests within a
+// region, so that the daemons do not oscillate together.
 constexpr double settleSeconds = 0.5;
-// A partitioned daemon goes on spending its part, which is kept back for it for this time. The bounds on limits apply to windows
-// of this length; after it the part of a daemon that has died goes to the others.
+// Reserves the share of a missing daemon for this time, because a partitioned daemon goes on spending it. The bounds on limits
+// apply to windows of this length; later the share of a dead daemon goes to the others.
 constexpr std::chrono::milliseconds maxAbsence{ 9'000 };
-// Half of the overshoot that a deployment allows: this fraction of a limit is not kept back for missing daemons, since most of
-// them have died.
+// Fraction of a limit that is not reserved for missing daemons, since most of them have died. It is half of the overshoot that a
+// deployment allows.
 constexpr double toleratedMissing = 0.05;
 // The counters of a daemon are forgotten when it has not reported for this time.
 constexpr std::chrono::milliseconds sourceRetention{ 60'000 };
@@ -31,9 +31,10 @@
 constexpr std::uint32_t maxInitialRequests = 3;
 // Time from a request at one daemon until all daemons of the region admit less because of it.
 constexpr double propagationSeconds = 0.4;
-// Fraction of the tolerance of a limit; the rest is for partitioned regions and missing daemons.
+// Fraction of a limit's tolerance that may be spent before delayed reports arrive; the rest covers partitioned regions and
+// missing daemons.
 constexpr double toleratedForDelay = 0.5;
-// Fraction of that for prompts which are larger than the region's share of the burst of a small limit.
+// Fraction of tolerated_ that may be spent on prompts larger than the region's share of the burst of a small limit.
 constexpr double toleratedForPrompts = 0.75;
 
 std::int32_t counterDelta(std::uint32_t now, std::uint32_t before)
--- a/src/portpaddle/retries/retry_credit.cpp
+++ b/src/portpaddle/retries/retry_credit.cpp
@@ -49,8 +49,8 @@
     account.refilledAt = now;
 }
 
-/// Retries in transit count against the cap as if they were saved: a full link or a suspended daemon may delay them for seconds,
-/// and they must not arrive together with as many new ones.
+/// Counts retries in transit against the cap as if they were saved: a full link or a suspended daemon may delay them for seconds,
+/// and an equal number of new retries must not arrive with them.
 void RetryCredit::applyCap(Account &account, SteadyTime now) const
 {
     while (!account.firstAttempts.empty() && account.firstAttempts.front() < now - options_.window) {
--- a/src/portpaddle/retries/retry_credit.h
+++ b/src/portpaddle/retries/retry_credit.h
@@ -38,8 +38,9 @@
     std::chrono::milliseconds window{ 10'000 };
     /// Fraction, from 0 to 1, of the credit from first attempts that is saved for a window; the rest may be spent at once.
     double savedShare = 0.5;
-    /// Fractions of the fixed part that may be saved and that are refilled in one window; their sum is at most 1.
+    /// Fraction of the fixed part that may be saved.
     double keptShare = 0.5;
+    /// Fraction of the fixed part that is refilled in one window; the sum of both is at most 1.
     double refillShare = 0.4;
 
     bool operator==(const RetryBudgetOptions &) const = default;
--- a/src/portpaddle/retries/retry_members.cpp
+++ b/src/portpaddle/retries/retry_members.cpp
@@ -13,7 +13,8 @@
 // A daemon goes on spending for this long after the store last confirmed its registration: outages of the store of up to 9 s must
 // not stop retries, and the other daemons eventually stop counting a daemon that cannot register.
 constexpr std::chrono::seconds maxConfirmationAge{ 30 };
-// A daemon that is no longer listed is counted for longer than it may go on spending and its retries count at upstreams.
+// A daemon that is no longer listed still counts for this time, which is longer than it may go on spending and its retries may
+// still arrive at upstreams.
 constexpr std::chrono::seconds removedRetention{ 60 };
 
 } // namespace
