--- a/tests/gateway/bounds_tests.cpp
+++ b/tests/gateway/bounds_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Shares of system-wide bounds: retries and cold upstreams.
+// Shares of fleet-wide bounds: retries and requests to cold upstreams.
 
 #include "portpaddle/gateway/cold_gate.h"
 #include "portpaddle/gateway/retry_rules.h"
@@ -16,7 +16,7 @@
 
 const SteadyTime start{ 1h };
 
-unsigned taken(ColdGate &gate, SteadyTime now, unsigned wanted)
+unsigned takeUpTo(ColdGate &gate, SteadyTime now, unsigned wanted)
 {
     unsigned count = 0;
     for (; wanted > 0; --wanted) {
@@ -30,21 +30,21 @@
 
 } // namespace
 
-TEST_CASE("Cold gate, daemons that share an upstream, stay within its bound together")
+TEST_CASE("Cold gate, several daemons share an upstream, together stay within its bound")
 {
     constexpr unsigned daemons = 4;
-    const ColdGateOptions terms{ 1.5, 3, daemons, start };
+    const ColdGateOptions options{ 1.5, 3, daemons, start };
     unsigned total = 0;
     for (unsigned index = 0; index < daemons; ++index) {
         ColdGate gate;
-        gate.setOptions(terms);
-        total += taken(gate, start + 5s, 100);
+        gate.setOptions(options);
+        total += takeUpTo(gate, start + 5s, 100);
     }
     CHECK(total <= 8);
     CHECK(total > 0);
 }
 
-TEST_CASE("Cold gate, more daemons than the bound, lets the owner of an upstream send and nobody else")
+TEST_CASE("Cold gate, more daemons than the bound allows requests, lets only the owner of an upstream send")
 {
     constexpr unsigned daemons = 99;
     unsigned total = 0;
@@ -60,28 +60,28 @@
         }
     }
     CHECK(total > 0);
-    // Half: one that is cut off may still take itself for the owner.
+    // Half of the bound, because a partitioned daemon may still consider itself the owner.
     CHECK(2 * total <= 3.3 * 1.5 + 3);
 }
 
-TEST_CASE("Cold gate, first second of a process on the list, is closed because an earlier process may have spent its share")
+TEST_CASE("Cold gate, first second after a process is listed, is closed because an earlier process may have spent its share")
 {
     ColdGate gate;
     gate.setOptions({ 1.5, 3, 2, start });
-    CHECK(taken(gate, start + 900ms, 10) == 0);
+    CHECK(takeUpTo(gate, start + 900ms, 10) == 0);
     gate.setOptions({ 1.5, 3, 2, std::nullopt });
-    CHECK(taken(gate, start + 1200ms, 10) == 0);
+    CHECK(takeUpTo(gate, start + 1200ms, 10) == 0);
     gate.setOptions({ 1.5, 3, 2, start });
-    CHECK(taken(gate, start + 1200ms, 10) > 0);
+    CHECK(takeUpTo(gate, start + 1200ms, 10) > 0);
 }
 
-TEST_CASE("Cold gate, any second, sees no more than the share")
+TEST_CASE("Cold gate, any window of one second, admits no more than the share")
 {
     ColdGate gate;
     gate.setOptions({ 1.5, 3, 1, start - 1h });
     std::vector<SteadyTime> sends;
     for (SteadyTime now = start; now < start + 10s; now += 10ms) {
-        for (unsigned count = taken(gate, now, 3); count > 0; --count) {
+        for (unsigned count = takeUpTo(gate, now, 3); count > 0; --count) {
             sends.push_back(now);
         }
     }
@@ -94,11 +94,12 @@
     }
 }
 
-TEST_CASE("Retry credit, repeats of all daemons after a calm, are what is saved and stay within ratio and extra together")
+TEST_CASE(
+    "Retry credit, retries of all daemons after an idle period, equal the saved credit and stay within ratio and fixed part")
 {
     constexpr unsigned daemons = 8;
     constexpr unsigned requests = 100;
-    unsigned repeats = 0;
+    unsigned retries = 0;
     for (unsigned daemon = 0; daemon < daemons; ++daemon) {
         RetryCredit credit;
         credit.setOptions({ .ratio = 0.2, .fixedPart = 54.0 / daemons }, start - 10s);
@@ -106,23 +107,23 @@
             credit.recordFirstAttempt("s", start + request * 100ms);
         }
         for (unsigned request = 0; request < requests; ++request) {
-            repeats += credit.takeRetry("s", start + 10s) != RetryPayment::Nobody ? 1 : 0;
+            retries += credit.takeRetry("s", start + 10s) != RetryPayment::Nobody ? 1 : 0;
         }
     }
-    CHECK(repeats <= 0.2 * requests * daemons + 54);
-    // Half of what the requests pay for, and half of 6.75.
-    CHECK(repeats == 13 * daemons);
+    CHECK(retries <= 0.2 * requests * daemons + 54);
+    // Half of the 20 retries that the requests pay for, plus half of the fixed part of 6.75, rounded down.
+    CHECK(retries == 13 * daemons);
 }
 
-TEST_CASE("Retry credit, shares that are kept and that come back, are no more than the whole together")
+TEST_CASE("Retry credit, kept share and refill share, add up to at most one")
 {
-    const RetryBudgetOptions terms;
-    CHECK(terms.keptShare + terms.refillShare <= 1);
-    CHECK(terms.savedShare >= 0);
-    CHECK(terms.savedShare <= 1);
+    const RetryBudgetOptions options;
+    CHECK(options.keptShare + options.refillShare <= 1);
+    CHECK(options.savedShare >= 0);
+    CHECK(options.savedShare <= 1);
 }
 
-TEST_CASE("Retry credit, daemon that stood still for a minute, has what it may keep and no more")
+TEST_CASE("Retry credit, daemon suspended for a minute, has only the credit that it may keep")
 {
     RetryCredit credit;
     credit.setOptions({ .ratio = 0.2, .fixedPart = 10 }, start);
@@ -132,27 +133,27 @@
     CHECK(credit.left("s", start + 1min) == doctest::Approx(5));
 }
 
-TEST_CASE("Retry credit, sum over daemons that are asked one after the other, stays within ratio and extra together")
+TEST_CASE("Retry credit, callers move from daemon to daemon, total of retries stays within ratio and fixed part")
 {
     constexpr unsigned daemons = 8;
     constexpr unsigned requests = 100;
-    unsigned repeats = 0;
+    unsigned retries = 0;
     for (unsigned daemon = 0; daemon < daemons; ++daemon) {
         RetryCredit credit;
         credit.setOptions({ .ratio = 0.2, .fixedPart = 54.0 / daemons }, start);
-        // All callers are at this daemon in this second of the window.
+        // All callers use this daemon during this second of the window.
         for (unsigned request = 0; request < requests; ++request) {
             credit.recordFirstAttempt("s", start + std::chrono::seconds(daemon));
         }
         while (credit.takeRetry("s", start + std::chrono::seconds(daemon)) != RetryPayment::Nobody) {
-            ++repeats;
+            ++retries;
         }
     }
-    CHECK(repeats <= 0.2 * requests * daemons + 54);
-    CHECK(repeats >= 0.1 * requests * daemons);
+    CHECK(retries <= 0.2 * requests * daemons + 54);
+    CHECK(retries >= 0.1 * requests * daemons);
 }
 
-TEST_CASE("Retry credit, first sends that left the window, no longer allow repeats")
+TEST_CASE("Retry credit, first attempts outside the window, no longer allow retries")
 {
     RetryCredit credit;
     credit.setOptions({ .ratio = 0.5 }, start);
@@ -163,7 +164,7 @@
     CHECK_FALSE(credit.allowsRetry("s", start + 12s));
 }
 
-TEST_CASE("Retry credit, repeat that was taken, is not taken twice")
+TEST_CASE("Retry credit, retry already taken, cannot be taken twice")
 {
     RetryCredit credit;
     credit.setOptions({ .ratio = 0.5 }, start);
@@ -176,21 +177,21 @@
     CHECK(credit.takeRetry("s", start + 12s) == RetryPayment::Nobody);
 }
 
-TEST_CASE("Retry credit, repeats that are held up on their way, are followed by few others")
+TEST_CASE("Retry credit, retries delayed in transit, limit further retries")
 {
     RetryCredit credit;
     credit.setOptions({ .ratio = 0.2 }, start);
-    unsigned underWay = 0;
+    unsigned retriesTaken = 0;
     for (unsigned request = 0; request < 1'000; ++request) {
         const SteadyTime now = start + request * 100ms;
         credit.recordFirstAttempt("s", now);
-        underWay += credit.takeRetry("s", now) != RetryPayment::Nobody ? 1 : 0;
+        retriesTaken += credit.takeRetry("s", now) != RetryPayment::Nobody ? 1 : 0;
     }
-    // What one window may save; its requests pay for twice as many.
-    CHECK(underWay == 10);
+    // The credit that one window may save, which is half of what its requests pay for.
+    CHECK(retriesTaken == 10);
 }
 
-TEST_CASE("Retry credit, repeat that was not sent, is given back")
+TEST_CASE("Retry credit, retry that was not sent, is refunded")
 {
     RetryCredit credit;
     credit.setOptions({ .ratio = 0.5 }, start);
@@ -203,7 +204,7 @@
     CHECK(credit.allowsRetry("s", start));
 }
 
-TEST_CASE("Retry credit, run that goes on elsewhere, is charged to what is earned later")
+TEST_CASE("Retry credit, forced retry for a run that continues elsewhere, is charged to credit earned later")
 {
     RetryCredit credit;
     credit.setOptions({ .ratio = 0.5 }, start);
@@ -216,7 +217,7 @@
     CHECK(credit.left("s", start) == doctest::Approx(0));
 }
 
-TEST_CASE("Retry credit, part of the fixed number that shrinks, is not spent any more")
+TEST_CASE("Retry credit, fixed part that shrinks, reduces the credit left")
 {
     RetryCredit credit;
     credit.setOptions({ .ratio = 0.2, .fixedPart = 50 }, start - 100s);
@@ -240,14 +241,14 @@
 
 } // namespace
 
-TEST_CASE("Repeat, refused by one of two upstreams, is allowed for budget")
+TEST_CASE("Retry, refused by one of two upstreams, is allowed and needs budget")
 {
     const RetryDecision decision = decideRetry(refusedOnce());
     CHECK(decision.denial == RetryDenial::None);
     CHECK(decision.needsBudget);
 }
 
-TEST_CASE("Repeat, seen by no upstream, costs nothing even with attempts used")
+TEST_CASE("Retry, request reached no upstream, needs no budget even with all attempts used")
 {
     RetryFacts facts = refusedOnce();
     facts.reachedNoUpstream = true;
@@ -256,7 +257,7 @@
     CHECK_FALSE(decideRetry(facts).needsBudget);
 }
 
-TEST_CASE("Repeat, stream that cannot be continued, is denied however its last attempt ended")
+TEST_CASE("Retry, stream that cannot be continued, is denied however its last attempt ended")
 {
     RetryFacts facts = refusedOnce();
     facts.cannotContinue = true;
@@ -267,7 +268,7 @@
     CHECK(decideRetry(facts).denial == RetryDenial::NotResumable);
 }
 
-TEST_CASE("Repeat, each reason against it, is named")
+TEST_CASE("Retry, each reason for denial, is reported")
 {
     RetryFacts facts = refusedOnce();
     facts.attempts = 1;
--- a/tests/gateway/crash_guard_tests.cpp
+++ b/tests/gateway/crash_guard_tests.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Requests that end the upstreams that run them: how they are told from those that were there by chance, who counts, how long
-// they are held. crashing_requests_tests.py shows the whole with real processes.
+// Requests that crash upstreams: how they are distinguished from requests that ran there by chance, which daemons count crashes,
+// how long requests are quarantined. crashing_requests_tests.py tests all of it with real processes.
 
 #include "support/gateway_site.h"
 #include "support/scripted_store.h"
@@ -30,7 +30,7 @@
 namespace {
 
 const SteadyTime start{ 1h };
-const RequestFingerprint bad{ 1, 2 };
+const RequestFingerprint crashing{ 1, 2 };
 const RequestFingerprint other{ 3, 4 };
 
 CallerRequest requestWith(const std::string &path, const std::string &body)
@@ -57,40 +57,40 @@
     return view;
 }
 
-class NewsSite : public GatewaySite
+class CrashDigestFixture : public GatewaySite
 {
 public:
-    NewsSite() : upstream(echo)
+    CrashDigestFixture() : upstream(echo)
     {
         addUpstream("u1", upstream.address());
-        news.kind = Wire::DigestKind::Crashes;
-        news.daemon = "e";
+        crashDigest.kind = Wire::DigestKind::Crashes;
+        crashDigest.daemon = "e";
     }
 
-    void takeNews()
+    void applyCurrentDigest()
     {
-        onLoop([this](Gateway &gateway) { gateway.applyDigest(news); });
+        onLoop([this](Gateway &gateway) { gateway.applyDigest(crashDigest); });
     }
 
-    /// What another daemon tells of the request "body" at "/plain/a".
-    Wire::LoadDigestT news;
+    /// Digest of another daemon about the request with the body "body" for "/plain/a".
+    Wire::LoadDigestT crashDigest;
     Wire::RequestDigest request = toWire(fingerprintOf(requestWith("/plain/a", "body"), {}));
     ScriptedUpstream upstream;
 };
 
-class HeldSite : public NewsSite
+class QuarantineFixture : public CrashDigestFixture
 {
 public:
-    HeldSite()
+    QuarantineFixture()
     {
-        news.quarantined = { request };
-        takeNews();
+        crashDigest.quarantined = { request };
+        applyCurrentDigest();
     }
 };
 
 } // namespace
 
-TEST_CASE("Fingerprint, the same path, caller and body, is the same; any of them changed, is another")
+TEST_CASE("Fingerprint, same path, caller and body, is equal; any of them changed, differs")
 {
     const RequestFingerprint one = fingerprintOf(requestWith("/a", "body"), "caller");
     CHECK(one == fingerprintOf(requestWith("/a", "body"), "caller"));
@@ -101,30 +101,30 @@
     CHECK(fingerprintFromHex(one.hex()) == one);
 }
 
-TEST_CASE("Fingerprint, text that is none, is refused")
+TEST_CASE("Fingerprint, malformed text, is rejected")
 {
     for (const std::string text : { "", "12", "g0000000000000000000000000000000", "000000000000000000000000000000000" }) {
         CHECK_FALSE(fingerprintFromHex(text));
     }
 }
 
-TEST_CASE("Crash watch, connection broke and upstream takes the next, accuses nobody")
+TEST_CASE("Crash watch, connection broke but upstream accepts the next one, suspects no request")
 {
     CrashWatch watch;
-    CHECK(watch.recordBreak("u1", bad, start));
+    CHECK(watch.recordBreak("u1", crashing, start));
     CHECK_FALSE(watch.recordBreak("u1", other, start));
     watch.confirmAlive("u1");
     watch.confirmEnded("u1", start + 1s);
     CHECK(watch.takeSuspects("u1").empty());
 }
 
-TEST_CASE("Crash watch, upstream ended, accuses those whose runs broke before and shortly after, each once")
+TEST_CASE("Crash watch, upstream ended, suspects each request whose run broke before or shortly after once")
 {
     CrashWatch watch;
-    watch.recordBreak("u1", bad, start);
-    watch.recordBreak("u1", bad, start);
+    watch.recordBreak("u1", crashing, start);
+    watch.recordBreak("u1", crashing, start);
     watch.confirmEnded("u1", start);
-    CHECK(watch.takeSuspects("u1") == std::vector{ bad });
+    CHECK(watch.takeSuspects("u1") == std::vector{ crashing });
     watch.recordBreak("u1", other, start + 1ms);
     CHECK(watch.hasEnded("u1"));
     CHECK(watch.takeSuspects("u1") == std::vector{ other });
@@ -132,143 +132,144 @@
     CHECK(watch.size() == 0);
 }
 
-TEST_CASE("Crash ledger, one upstream told of many times, counts once")
+TEST_CASE("Crash ledger, one upstream reported repeatedly, counts once")
 {
     CrashLedger ledger;
-    CHECK(ledger.add(bad, 1, start) == 1);
-    CHECK(ledger.add(bad, 1, start) == 1);
-    CHECK(ledger.add(bad, 2, start) == 2);
+    CHECK(ledger.add(crashing, 1, start) == 1);
+    CHECK(ledger.add(crashing, 1, start) == 1);
+    CHECK(ledger.add(crashing, 2, start) == 2);
     CHECK(ledger.count(other) == 0);
 }
 
-TEST_CASE("Crash ledger, any number of requests and ends, stays bounded and keeps what comes again")
+TEST_CASE("Crash ledger, many requests and crashes, stays bounded and keeps recurring requests")
 {
     CrashLedger ledger;
     for (std::uint64_t index = 0; index < 100'000; ++index) {
         ledger.add({ index, index }, index, start);
-        ledger.add(bad, index, start);
+        ledger.add(crashing, index, start);
     }
     CHECK(ledger.size() <= 20'000);
-    CHECK(ledger.count(bad) >= 3);
+    CHECK(ledger.count(crashing) >= 3);
 }
 
-TEST_CASE("Crash ledger, request that did not come for twenty minutes, is forgotten")
+TEST_CASE("Crash ledger, request not seen for twenty minutes, is forgotten")
 {
     CrashLedger ledger;
-    ledger.add(bad, 1, start);
+    ledger.add(crashing, 1, start);
     ledger.add(other, 1, start + 11min);
     ledger.add(other, 2, start + 22min);
-    CHECK(ledger.count(bad) == 0);
+    CHECK(ledger.count(crashing) == 0);
     CHECK(ledger.count(other) == 2);
 }
 
-TEST_CASE("Quarantine, more requests than it holds, keeps those that still come")
+TEST_CASE("Quarantine, more requests than its capacity, keeps those that still arrive")
 {
     Quarantine quarantine;
-    CHECK(quarantine.insert(bad, start));
+    CHECK(quarantine.insert(crashing, start));
     for (std::uint64_t index = 0; index < 2 * maxQuarantined; ++index) {
         const SteadyTime now = start + std::chrono::milliseconds(index);
         quarantine.insert({ 100 + index, 0 }, now);
-        CHECK(quarantine.isQuarantined(bad, now));
+        CHECK(quarantine.isQuarantined(crashing, now));
     }
     CHECK_FALSE(quarantine.isQuarantined({ 100, 0 }, start + 1h));
 }
 
-TEST_CASE("Quarantine, platform does not have it, is to be written; once it has, only when half of its time is over and it comes")
+TEST_CASE(
+    "Quarantine, request not stored by the platform, is to be written; stored one, only if it arrives after half of its time")
 {
     Quarantine quarantine;
-    quarantine.insert(bad, start);
+    quarantine.insert(crashing, start);
     REQUIRE(quarantine.unwritten(start).size() == 1);
-    quarantine.recordWriteRequest(bad, start);
+    quarantine.recordWriteRequest(crashing, start);
     CHECK(quarantine.unwritten(start + 1s).empty());
     CHECK(quarantine.unwritten(start + 6s).size() == 1);
-    quarantine.setStored({ { bad, start + 1s } }, start + 1s);
+    quarantine.setStored({ { crashing, start + 1s } }, start + 1s);
     CHECK(quarantine.unwritten(start + 9min).empty());
-    CHECK(quarantine.isQuarantined(bad, start + 9min));
+    CHECK(quarantine.isQuarantined(crashing, start + 9min));
     CHECK(quarantine.unwritten(start + 9min).size() == 1);
 }
 
-TEST_CASE("Quarantine, record taken away from the platform, lets the request pass")
+TEST_CASE("Quarantine, record removed from the platform, lets the request pass")
 {
     Quarantine quarantine;
-    quarantine.setStored({ { bad, start } }, start);
-    CHECK(quarantine.isQuarantined(bad, start));
+    quarantine.setStored({ { crashing, start } }, start);
+    CHECK(quarantine.isQuarantined(crashing, start));
     quarantine.setStored({}, start + 1s);
-    CHECK_FALSE(quarantine.isQuarantined(bad, start + 1s));
+    CHECK_FALSE(quarantine.isQuarantined(crashing, start + 1s));
 }
 
-TEST_CASE("Quarantine, platform never took it and it comes no more, is over after ten minutes")
+TEST_CASE("Quarantine, request never stored and not seen again, expires after ten minutes")
 {
     Quarantine quarantine;
-    quarantine.insert(bad, start);
+    quarantine.insert(crashing, start);
     quarantine.expire(start + 9min);
     CHECK_FALSE(quarantine.empty());
     quarantine.expire(start + 10min);
     CHECK(quarantine.empty());
 }
 
-TEST_CASE("Survivors, request served a moment ago, is known for two seconds")
+TEST_CASE("Completed requests, request just served, is known for two seconds")
 {
-    CompletedRequests survivors;
+    CompletedRequests completed;
     const CallerRequest request = requestWith("/a", "ping");
-    survivors.add(request, "caller", start);
-    CHECK(survivors.contains(request, "caller", start + 1s));
-    CHECK_FALSE(survivors.contains(request, "another", start + 1s));
-    CHECK_FALSE(survivors.contains(request, "caller", start + 2s));
+    completed.add(request, "caller", start);
+    CHECK(completed.contains(request, "caller", start + 1s));
+    CHECK_FALSE(completed.contains(request, "another", start + 1s));
+    CHECK_FALSE(completed.contains(request, "caller", start + 2s));
 }
 
-TEST_CASE("Crash news, several regions, go three times to two daemons of each that count for the request")
+TEST_CASE("Crash digests, several regions, go three times to the two daemons of each that count the request")
 {
     const FleetView view = fleet(3, 4);
-    CrashDigests news("d-0-0");
-    news.recordCrash(bad, 7);
-    std::set<std::string> told;
-    for (unsigned turn = 0; turn < 3; ++turn) {
-        for (const OutgoingDigest &outgoing : news.due(view, {})) {
+    CrashDigests crashDigests("d-0-0");
+    crashDigests.recordCrash(crashing, 7);
+    std::set<std::string> recipients;
+    for (unsigned round = 0; round < 3; ++round) {
+        for (const OutgoingDigest &outgoing : crashDigests.due(view, {})) {
             CHECK(outgoing.digest.kind == Wire::DigestKind::Crashes);
             REQUIRE(outgoing.digest.ended_under.size() == 1);
-            CHECK(fromWire(outgoing.digest.ended_under.front().request()) == bad);
-            told.insert(outgoing.to.begin(), outgoing.to.end());
+            CHECK(fromWire(outgoing.digest.ended_under.front().request()) == crashing);
+            recipients.insert(outgoing.to.begin(), outgoing.to.end());
         }
     }
-    CHECK(news.due(view, {}).empty());
-    told.insert("d-0-0");
-    CHECK(told.size() >= 6);
-    CHECK(told.size() <= 7);
-    // Another daemon names the same ones.
+    CHECK(crashDigests.due(view, {}).empty());
+    recipients.insert("d-0-0");
+    CHECK(recipients.size() >= 6);
+    CHECK(recipients.size() <= 7);
+    // Another daemon chooses the same recipients.
     CrashDigests elsewhere("d-1-1");
-    elsewhere.recordCrash(bad, 8);
+    elsewhere.recordCrash(crashing, 8);
     for (const OutgoingDigest &outgoing : elsewhere.due(view, {})) {
-        CHECK(told.contains(outgoing.to.front()));
+        CHECK(recipients.contains(outgoing.to.front()));
     }
 }
 
-TEST_CASE("Crash news, an upstream with hundreds of requests ended, each digest fits a datagram and is taken")
+TEST_CASE("Crash digests, upstream with hundreds of requests ended, each fits a datagram and can be decoded")
 {
     const FleetView view = fleet(1, 3);
-    CrashDigests news("d-0-0");
+    CrashDigests crashDigests("d-0-0");
     for (std::uint64_t index = 0; index < 500; ++index) {
-        news.recordCrash({ index, index * index }, 7);
-        news.recordQuarantined({ index, index });
+        crashDigests.recordCrash({ index, index * index }, 7);
+        crashDigests.recordQuarantined({ index, index });
     }
     Wire::LoadDigestT header;
     header.daemon = std::string(60, 'd');
     header.region = std::string(40, 'r');
-    for (const OutgoingDigest &outgoing : news.due(view, header)) {
+    for (const OutgoingDigest &outgoing : crashDigests.due(view, header)) {
         const std::vector<std::uint8_t> bytes = encodeDigest(outgoing.digest);
         CHECK(bytes.size() <= maxLoadDatagramBytes);
         CHECK(isOk(decodeDigest(bytes)));
     }
 }
 
-TEST_CASE("Record writer, store away at first, writes under a lease when it is back")
+TEST_CASE("Record writer, store unavailable at first, writes under a lease once it is available")
 {
     ScriptedStore store;
     store.setFailing(true);
     RecordWriter writer(store);
     writer.start();
-    const LeasedRecord record = quarantineRecord(bad);
-    CHECK(requestHeldBy(record.key) == bad);
+    const LeasedRecord record = quarantineRecord(crashing);
+    CHECK(requestHeldBy(record.key) == crashing);
     writer.write(record);
     while (store.calls() == 0) {
         std::this_thread::yield();
@@ -281,7 +282,7 @@
     CHECK_FALSE(store.has(record.key));
 }
 
-TEST_CASE_FIXTURE(HeldSite, "Request that is held, of a caller or another daemon, is refused unsent with a time to return")
+TEST_CASE_FIXTURE(QuarantineFixture, "Quarantined request, from a caller or another daemon, is refused unsent with a Retry-After")
 {
     const SeenAnswer answer = ask("/plain/a", "id1", {}, "body");
     CHECK(answer.status == 503);
@@ -293,21 +294,21 @@
     CHECK(upstream.seen().empty());
 }
 
-TEST_CASE_FIXTURE(HeldSite, "Request that is held, another body, path or credentials, is served")
+TEST_CASE_FIXTURE(QuarantineFixture, "Quarantined request, same but for body, path or credentials, is served")
 {
     CHECK(ask("/plain/a", "id1", {}, "another").status == 200);
     CHECK(ask("/plain/b", "id2", {}, "body").status == 200);
     CHECK(ask("/plain/a", "id3", "Authorization: Bearer k\r\n", "body").status == 200);
 }
 
-TEST_CASE_FIXTURE(NewsSite,
-                  "Request under which one upstream ended, told of several times, is served; after another one, refused")
+TEST_CASE_FIXTURE(CrashDigestFixture,
+                  "Request that crashed one upstream, reported several times, is served; after a second upstream, refused")
 {
-    news.ended_under = { Wire::EndedUnder(request, 7), Wire::EndedUnder(request, 7) };
-    takeNews();
-    takeNews();
+    crashDigest.ended_under = { Wire::EndedUnder(request, 7), Wire::EndedUnder(request, 7) };
+    applyCurrentDigest();
+    applyCurrentDigest();
     CHECK(ask("/plain/a", "id1", {}, "body").status == 200);
-    news.ended_under = { Wire::EndedUnder(request, 8) };
-    takeNews();
+    crashDigest.ended_under = { Wire::EndedUnder(request, 8) };
+    applyCurrentDigest();
     CHECK(ask("/plain/a", "id2", {}, "body").status == 503);
 }
--- a/tests/gateway/feed_server_tests.cpp
+++ b/tests/gateway/feed_server_tests.cpp
@@ -1,10 +1,9 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What callers saw: a daemon of a region whose VMs had lost the store refused a route 5.2 s after the configuration that has it
-// was in force. It followed others, asked six of them in turn, and each that had no contact with the store kept it waiting for a
-// second before it said so. Evidence: its lines on the same day show sources left one a second, each for having no contact with
-// the store, and configurations in force 3 s after their acknowledgement.
+// A daemon that has lost contact with the store must say so at once when a peer asks for changes. If it holds the request for a
+// second first, a daemon that tries six such peers in turn applies a new configuration seconds late, and refuses requests for a
+// route up to 5.2 s after the configuration with that route came into force.
 
 #include "portpaddle/fleet/feed_server.h"
 
@@ -20,7 +19,7 @@
 
 namespace {
 
-/// A daemon that knows revision 5 of the store, and is asked for what is newer.
+/// A daemon that knows revision 5 of the store and is asked for newer changes.
 class FeedServerFixture
 {
 public:
@@ -30,7 +29,7 @@
         feed.setReachable(true);
     }
 
-    /// Whether it answers before anything happens.
+    /// Returns whether the server answers before any change or timeout.
     bool answersAtOnce()
     {
         spawnTask(loop.get_executor(), "question", [this]() -> Task<void> {
@@ -49,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(FeedServerFixture, "Question about changes, contact with the store, waits for one")
+TEST_CASE_FIXTURE(FeedServerFixture, "Request for changes, store reachable, waits for a change")
 {
     CHECK_FALSE(answersAtOnce());
     feed.add({ { { "k", "v", 6 }, false } }, 6, BootClock::now());
@@ -58,7 +57,7 @@
     CHECK(answered);
 }
 
-TEST_CASE_FIXTURE(FeedServerFixture, "Question about changes, contact with the store lost, is answered at once")
+TEST_CASE_FIXTURE(FeedServerFixture, "Request for changes, contact with the store lost, is answered at once")
 {
     const Suspension later(3s);
     CHECK(answersAtOnce());
--- a/tests/gateway/fleet_view_tests.cpp
+++ b/tests/gateway/fleet_view_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What a daemon believes of routes, upstreams and other daemons, over outages of the store.
+// What a daemon knows of routes, upstreams and other daemons, also during outages of the store.
 
 #include "portpaddle/base/metrics.h"
 #include "portpaddle/base/system_clock.h"
@@ -39,11 +39,11 @@
     return record;
 }
 
-/// A keeper whose store has been reached once.
-class KeeperFixture
+/// A registry whose store has been reached once.
+class FleetRegistryFixture
 {
 public:
-    KeeperFixture()
+    FleetRegistryFixture()
     {
         registry.onStoreAvailable(now);
     }
@@ -57,21 +57,21 @@
     FleetRegistry registry{ cell, [] {} };
 };
 
-std::shared_ptr<const ServiceMap> version(std::uint64_t number)
+std::shared_ptr<const ServiceMap> serviceMapOf(std::uint64_t number)
 {
     auto map = std::make_shared<ServiceMap>();
     map->version = number;
     return map;
 }
 
-/// A gateway in region "north" with a view made by hand.
+/// A gateway in region "south" with a view that the test publishes.
 class EntriesFixture
 {
 public:
     void publish(const std::vector<DaemonRecord> &daemons)
     {
         auto view = std::make_shared<FleetView>();
-        view->services = version(1);
+        view->services = serviceMapOf(1);
         view->daemons = daemons;
         cell.publish(view);
         gateway.viewChanged();
@@ -83,7 +83,7 @@
         return entriesFor({ "north", "north-1" }, gateway, BootClock::now());
     }
 
-    void hear(const std::string &daemon, const std::string &region, Wire::DaemonPhase phase)
+    void receiveDigest(const std::string &daemon, const std::string &region, Wire::DaemonPhase phase)
     {
         Wire::LoadDigestT digest;
         digest.daemon = daemon;
@@ -103,7 +103,7 @@
 
 } // namespace
 
-TEST_CASE("Service map, several prefixes fit, takes the longest of the host")
+TEST_CASE("Service map, several prefixes match, chooses the longest one of the host")
 {
     ServiceMap map;
     for (const char *prefix : { "/a/", "/a/b/", "/" }) {
@@ -120,7 +120,7 @@
     CHECK(map.find("other", "/a/") == nullptr);
 }
 
-TEST_CASE("Service map, split route, sends each share and the same request to the same service")
+TEST_CASE("Service map, split route, gives each service its share and the same request the same service")
 {
     Route route;
     route.services = { { "a", 90 }, { "b", 10 } };
@@ -132,29 +132,29 @@
     CHECK(toB == 100);
 }
 
-TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, older configuration, is not taken")
+TEST_CASE_FIXTURE(FleetRegistryFixture, "Fleet registry, older configuration, is rejected")
 {
-    CHECK(registry.takeConfiguration(version(7)));
-    CHECK_FALSE(registry.takeConfiguration(version(6)));
-    CHECK_FALSE(registry.takeConfiguration(version(7)));
+    CHECK(registry.takeConfiguration(serviceMapOf(7)));
+    CHECK_FALSE(registry.takeConfiguration(serviceMapOf(6)));
+    CHECK_FALSE(registry.takeConfiguration(serviceMapOf(7)));
     CHECK(cell.read()->services->version == 7);
 }
 
-TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, upstream that was leaving, stays so for its life")
+TEST_CASE_FIXTURE(FleetRegistryFixture, "Fleet registry, upstream marked as leaving, stays so for its incarnation")
 {
     registry.changeUpstream(upstream("u", true));
     registry.changeUpstream(upstream("u", false));
     CHECK_FALSE(cell.read()->takesRequests(cell.read()->upstreams.at("u")));
 }
 
-TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, record removed while the store is well, is gone at once")
+TEST_CASE_FIXTURE(FleetRegistryFixture, "Fleet registry, record removed while the store is reachable, is dropped at once")
 {
     registry.changeUpstream(upstream("u"));
     registry.removeUpstream("u", now + 10s);
     CHECK_FALSE(knows("u"));
 }
 
-TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, store away, keeps what was known")
+TEST_CASE_FIXTURE(FleetRegistryFixture, "Fleet registry, store unavailable, keeps known upstreams")
 {
     registry.changeUpstream(upstream("u"));
     registry.onStoreUnavailable(now + 10s);
@@ -163,7 +163,8 @@
     CHECK_FALSE(cell.read()->storeReachable);
 }
 
-TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, record missing after an outage, counts until it could be back")
+TEST_CASE_FIXTURE(FleetRegistryFixture,
+                  "Fleet registry, record missing after an outage, is kept until it could have been registered again")
 {
     registry.changeUpstream(upstream("back"));
     registry.changeUpstream(upstream("gone"));
@@ -178,7 +179,7 @@
     CHECK_FALSE(knows("gone"));
 }
 
-TEST_CASE_FIXTURE(KeeperFixture, "Fleet keeper, evacuated data centre, takes no requests until it is taken back")
+TEST_CASE_FIXTURE(FleetRegistryFixture, "Fleet registry, evacuated data centre, takes no requests until the evacuation ends")
 {
     registry.changeUpstream(upstream("u"));
     registry.changeEvacuation("north-1", true);
@@ -187,7 +188,7 @@
     CHECK(cell.read()->takesRequests(cell.read()->upstreams.at("u")));
 }
 
-TEST_CASE_FIXTURE(EntriesFixture, "Entries, daemons of the caller's region, go before all others")
+TEST_CASE_FIXTURE(EntriesFixture, "Entries, daemons of the caller's region, take precedence over all others")
 {
     const auto found = entries({ daemonIn("n", "north"), daemonIn("e", "east"), daemonIn("self", "south") });
     CHECK(found == std::vector<std::string>{ "n" });
@@ -195,20 +196,21 @@
 
 TEST_CASE_FIXTURE(EntriesFixture, "Entries, stopping daemon, is named only where its region has no other")
 {
-    hear("n1", "north", Wire::DaemonPhase::Stopping);
+    receiveDigest("n1", "north", Wire::DaemonPhase::Stopping);
     CHECK(entries({ daemonIn("n1", "north"), daemonIn("n2", "north"), daemonIn("self", "south") })
           == std::vector<std::string>{ "n2" });
     CHECK(entries({ daemonIn("n1", "north"), daemonIn("self", "south") }) == std::vector<std::string>{ "n1" });
 }
 
-TEST_CASE_FIXTURE(EntriesFixture, "Entries, daemon that closes, is never named")
+TEST_CASE_FIXTURE(EntriesFixture, "Entries, closing daemon, is never named")
 {
-    hear("n1", "north", Wire::DaemonPhase::Closing);
+    receiveDigest("n1", "north", Wire::DaemonPhase::Closing);
     CHECK(entries({ daemonIn("n1", "north"), daemonIn("self", "south") }) == std::vector<std::string>{ "self" });
 }
 
-TEST_CASE_FIXTURE(EntriesFixture,
-                  "Entries, region lost and more daemons elsewhere than one answer names, leave none of them without callers")
+TEST_CASE_FIXTURE(
+    EntriesFixture,
+    "Entries, region without daemons and more elsewhere than one answer names, spread callers over nearly all of them")
 {
     std::vector<DaemonRecord> daemons;
     for (int index = 0; index < 150; ++index) {
@@ -218,34 +220,34 @@
     std::set<std::string> named;
     for (int place = 0; place < 8; ++place) {
         const CallerPlace caller{ "lost", "lost-" + std::to_string(place) };
-        const SteadyTime asked = BootClock::now();
-        const std::vector<std::string> found = entriesFor(caller, gateway, asked);
+        const SteadyTime requestTime = BootClock::now();
+        const std::vector<std::string> found = entriesFor(caller, gateway, requestTime);
         CHECK(found.size() == maxEntries);
-        CHECK(entriesFor(caller, gateway, asked) == found);
+        CHECK(entriesFor(caller, gateway, requestTime) == found);
         named.insert(found.begin(), found.end());
     }
     CHECK(named.size() > 140);
 }
 
 TEST_CASE_FIXTURE(EntriesFixture,
-                  "Retry budget, daemons that left the list, is divided by all that may still be spending in any data centre")
+                  "Retry budget, daemons removed from the list, is divided by all that may still spend it in any data centre")
 {
-    GatewayOptions terms;
-    terms.dataCentres = 6;
-    gateway.setOptions(terms);
+    GatewayOptions options;
+    options.dataCentres = 6;
+    gateway.setOptions(options);
     std::vector<DaemonRecord> daemons;
     for (int index = 0; index < 61; ++index) {
         daemons.push_back(daemonIn("d" + std::to_string(index), index < 11 ? "south" : "north"));
         daemons.back().dataCentre = daemons.back().region + "-1";
     }
     publish(daemons);
-    // This one comes to the eleven that are listed beside it.
+    // The gateway itself adds to the eleven daemons that are listed in its data centre.
     CHECK(gateway.retryDivisor() >= 6 * 12);
     publish({ daemons.front() });
     CHECK(gateway.retryDivisor() >= 6 * 12);
 }
 
-TEST_CASE("Event splitter, any cut of the bytes, gives the same events")
+TEST_CASE("Event splitter, bytes split at any position, gives the same events")
 {
     rc::check([] {
         const auto count = *rc::gen::inRange(1, 20);
@@ -267,7 +269,7 @@
     });
 }
 
-TEST_CASE("Load digest, its own encoding, comes back the same")
+TEST_CASE("Load digest, encoded and decoded, is unchanged")
 {
     Wire::LoadDigestT digest;
     digest.daemon = "d";
@@ -280,7 +282,7 @@
     CHECK(encodeDigest(valueOf(decoded)) == encodeDigest(digest));
 }
 
-TEST_CASE("Load digest, largest allowed, fits one datagram")
+TEST_CASE("Load digest, maximum size, fits one datagram")
 {
     Wire::LoadDigestT digest;
     digest.daemon = std::string(60, 'd');
@@ -291,7 +293,7 @@
     CHECK(encodeDigest(digest).size() <= maxLoadDatagramBytes);
 }
 
-TEST_CASE("Load digests, more upstreams and parts than one holds, are all told, each digest with its sender")
+TEST_CASE("Load digests, more upstreams and parts than one holds, report all of them, each digest with its sender")
 {
     Wire::LoadDigestT header;
     header.daemon = "d";
@@ -315,26 +317,26 @@
     CHECK(digests[1].services.empty());
 }
 
-TEST_CASE("Load digests, nothing to tell of load, still one that shows the sender alive")
+TEST_CASE("Load digests, no load to report, are still one that shows the sender to be alive")
 {
     CHECK(splitIntoDigests({}, {}, {}).size() == 1);
 }
 
-TEST_CASE("Peer turns, daemons that start at once, tell every daemon of another region within a second and a half")
+TEST_CASE("Round-robin cursor, daemons that start together, reach every daemon of other regions within 1.5 s")
 {
-    // The grown sites: 20 daemons of one region, 38 elsewhere; three are told in each round of 300 ms.
+    // A large fleet has 20 daemons in one region and 38 elsewhere; each daemon sends to three of them every 300 ms.
     constexpr std::size_t others = 38;
-    std::set<std::size_t> told;
+    std::set<std::size_t> reached;
     for (int daemon = 0; daemon < 20; ++daemon) {
-        RoundRobinCursor turns(stableHash("front-" + std::to_string(daemon)));
+        RoundRobinCursor cursor(stableHash("front-" + std::to_string(daemon)));
         for (int count = 0; count < 5 * 3; ++count) {
-            told.insert(turns.next(others));
+            reached.insert(cursor.next(others));
         }
     }
-    CHECK(told.size() == others);
+    CHECK(reached.size() == others);
 }
 
-TEST_CASE("Load digest, bytes of a hostile peer, are refused or harmless")
+TEST_CASE("Load digest, arbitrary bytes of a hostile peer, are rejected or harmless")
 {
     rc::check([] {
         const auto bytes = *rc::gen::container<std::vector<std::uint8_t>>(rc::gen::arbitrary<std::uint8_t>());
--- a/tests/gateway/hand_over_tests.cpp
+++ b/tests/gateway/hand_over_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Streams that pass through two daemons, the second of which ends first: their memory is moved and they go on through a third.
+// When the daemon that relays a stream stops, the memory of the stream is moved and the stream continues through a third daemon.
 
 #include "support/moving_engines.h"
 
@@ -24,7 +24,7 @@
     return request.headers.contains("last-event-id") ? request.headers.at("last-event-id") : std::string();
 }
 
-/// A daemon whose streams of others are due to be handed over as soon as its stop begins.
+/// A daemon that hands over the streams relayed for other daemons as soon as it begins to stop.
 class MovingEnginesFixture : public MovingEngines
 {
 public:
@@ -35,7 +35,7 @@
         setOptions();
     }
 
-    /// The stream of another daemon, seen to the end of this daemon's stop.
+    /// Returns the answer to a request of another daemon whose stream is in progress when this daemon stops.
     SeenAnswer askWhileStopping(const std::string &headers)
     {
         RawCaller caller(linkAddress());
@@ -52,18 +52,19 @@
     ScriptedUpstream busy{ [](const SeenRequest &) { return ScriptedAnswer{ notRunAnswer }; } };
 };
 
-/// Two daemons of another region: whoever is asked first hands over, the other goes on.
+/// Two daemons of another region. The first one that receives the request hands its stream over, the other continues it.
 class EndingRelayFixture : public GatewaySite
 {
 public:
     EndingRelayFixture()
     {
         const auto script = [this](const SeenRequest &request) {
-            if (asked++ == 0) {
+            if (requestCount++ == 0) {
                 return ScriptedAnswer{ streamHead(idOf(request)) + eventChunk(1, 2) + handOver, Then::Close };
             }
-            goesOn = request;
-            return ScriptedAnswer{ goOn.empty() ? streamHead(idOf(request)) + eventChunk(3, 4) + lastChunk : goOn };
+            continuation = request;
+            return ScriptedAnswer{ continuationAnswer.empty() ? streamHead(idOf(request)) + eventChunk(3, 4) + lastChunk
+                                                              : continuationAnswer };
         };
         for (std::size_t index = 0; index < daemons.size(); ++index) {
             daemons[index] = std::make_unique<ScriptedUpstream>(script);
@@ -71,17 +72,17 @@
         }
     }
 
-    void keepOnlyDaemon(std::size_t index)
+    void removeAllDaemonsBut(std::size_t index)
     {
         removeDaemon("e" + std::to_string(1 - index));
     }
 
     std::string handOver = "0\r\nX-Portpaddle-Continue-At: u9 10.0.0.1:80/h7\r\n\r\n";
     std::array<std::unique_ptr<ScriptedUpstream>, 2> daemons;
-    std::atomic<unsigned> asked{ 0 };
-    SeenRequest goesOn;
-    /// Answers the continuation in place of the rest of the stream.
-    std::string goOn;
+    std::atomic<unsigned> requestCount{ 0 };
+    SeenRequest continuation;
+    /// The answer to the continuation, if not the rest of the stream.
+    std::string continuationAnswer;
 };
 
 } // namespace
@@ -96,7 +97,7 @@
     CHECK(continuedFrom.empty());
 }
 
-TEST_CASE_FIXTURE(MovingEnginesFixture, "Stopping daemon, relayed stream of a daemon that cannot continue it, is left alone")
+TEST_CASE_FIXTURE(MovingEnginesFixture, "Stopping daemon, relayed stream of a daemon that cannot continue it, is not handed over")
 {
     released = true;
     const SeenAnswer answer = askWhileStopping({});
@@ -104,7 +105,7 @@
     CHECK_FALSE(ordered);
 }
 
-TEST_CASE_FIXTURE(MovingEnginesFixture, "Relayed request, with a continuation, goes on at the engine that it names")
+TEST_CASE_FIXTURE(MovingEnginesFixture, "Relayed request, with a continuation, continues at the named engine")
 {
     const SeenAnswer answer
         = askAsDaemon("/stream/a", "id1", "Last-Event-ID: 2\r\nX-Portpaddle-Continue-At: u1 10.0.0.1:80/h7\r\n");
@@ -115,14 +116,14 @@
     CHECK(lastIdOf(engines[1]->seen().front()) == "2");
 }
 
-TEST_CASE_FIXTURE(MovingEnginesFixture, "Relayed request, continuation at an engine that is gone, is refused as not run")
+TEST_CASE_FIXTURE(MovingEnginesFixture, "Relayed request, continuation at an unknown engine, is refused as not run")
 {
     const SeenAnswer answer = askAsDaemon("/stream/a", "id1", "X-Portpaddle-Continue-At: u7 10.0.0.1:80/h7\r\n");
     CHECK(answer.status == 503);
     CHECK(answer.head.find("X-Portpaddle-Outcome: not_run") != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(MovingEnginesFixture, "Relayed request, continuation that its engine does not take, is not run by another one")
+TEST_CASE_FIXTURE(MovingEnginesFixture, "Relayed request, continuation refused by its engine, is not run by another engine")
 {
     std::string address;
     SUBCASE("refused by the engine")
@@ -149,31 +150,31 @@
     CHECK(continuedFrom.empty());
 }
 
-TEST_CASE_FIXTURE(EndingRelayFixture, "Stream, handed over by a daemon that ends, goes on through another one to its end")
+TEST_CASE_FIXTURE(EndingRelayFixture, "Stream, handed over by a stopping daemon, continues through another daemon to its end")
 {
     const SeenAnswer answer = ask("/stream/a", "id1", keptElsewhere);
     CHECK(answer.whole);
     CHECK(answer.trailer.empty());
     CHECK(answer.body.find("id: 2") < answer.body.find("id: 3"));
     CHECK(answer.body.find("id: 4") != std::string::npos);
-    CHECK(asked == 2);
-    CHECK(goesOn.headers.at("x-portpaddle-continue-at") == "u9 10.0.0.1:80/h7");
-    CHECK(lastIdOf(goesOn) == "2");
+    CHECK(requestCount == 2);
+    CHECK(continuation.headers.at("x-portpaddle-continue-at") == "u9 10.0.0.1:80/h7");
+    CHECK(lastIdOf(continuation) == "2");
 }
 
-TEST_CASE_FIXTURE(EndingRelayFixture, "Stream, handed over while no other daemon is known, goes on when one comes")
+TEST_CASE_FIXTURE(EndingRelayFixture, "Stream, handed over while no other daemon is known, continues once one is listed")
 {
-    const auto late = std::make_unique<ScriptedUpstream>([this](const SeenRequest &request) {
-        ++asked;
+    const auto lateDaemon = std::make_unique<ScriptedUpstream>([this](const SeenRequest &request) {
+        ++requestCount;
         return ScriptedAnswer{ streamHead(idOf(request)) + eventChunk(3, 4) + lastChunk };
     });
-    keepOnlyDaemon(0);
+    removeAllDaemonsBut(0);
     RawCaller caller(address());
     caller.send(request("/stream/a", "id1", keptElsewhere));
-    CHECK(eventually([this] { return asked == 1; }));
-    addRemoteDaemon("e2", "east", late->address(), keptElsewhere);
+    CHECK(eventually([this] { return requestCount == 1; }));
+    addRemoteDaemon("e2", "east", lateDaemon->address(), keptElsewhere);
     CHECK(caller.receive().whole);
-    CHECK(asked == 2);
+    CHECK(requestCount == 2);
 }
 
 TEST_CASE_FIXTURE(EndingRelayFixture, "Stream, handed over to a daemon that refuses it, is visibly incomplete and not run again")
@@ -181,21 +182,22 @@
     ScriptedUpstream own(
         [](const SeenRequest &request) { return ScriptedAnswer{ streamHead(idOf(request)) + eventChunk(1, 4) + lastChunk }; });
     addUpstream("u1", own.address());
-    goOn = "HTTP/1.1 503 Busy\r\nX-Portpaddle-Outcome: not_run\r\nX-Portpaddle-Sends: 0\r\nContent-Length: 0\r\n\r\n";
+    continuationAnswer
+        = "HTTP/1.1 503 Busy\r\nX-Portpaddle-Outcome: not_run\r\nX-Portpaddle-Sends: 0\r\nContent-Length: 0\r\n\r\n";
     const SeenAnswer answer = ask("/stream/a", "id1", keptElsewhere);
     CHECK_FALSE(answer.whole);
     CHECK(answer.body.find("id: 3") == std::string::npos);
     CHECK(own.seen().empty());
 }
 
-TEST_CASE_FIXTURE(EndingRelayFixture, "Stream, handed over with a field that says nothing, is visibly incomplete")
+TEST_CASE_FIXTURE(EndingRelayFixture, "Stream, handed over with a malformed field, is visibly incomplete")
 {
     handOver = "0\r\nX-Portpaddle-Continue-At: u9\r\n\r\n";
     CHECK_FALSE(ask("/stream/a", "id1", keptElsewhere).whole);
-    CHECK(asked == 1);
+    CHECK(requestCount == 1);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Stream of an upstream, with the field of a hand-over, passes as it is")
+TEST_CASE_FIXTURE(GatewaySite, "Stream of an upstream, with the field of a hand-over, is complete and loses the field")
 {
     ScriptedUpstream upstream([](const SeenRequest &request) {
         return ScriptedAnswer{ streamHead(idOf(request)) + eventChunk(1, 2) + "0\r\nX-Portpaddle-Continue-At: u9 a/h\r\n\r\n" };
--- a/tests/gateway/limit_fleet_tests.cpp
+++ b/tests/gateway/limit_fleet_tests.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What an upstream gets that names a limit, from all daemons of its region in virtual time, with callers that would have every
-// request go there.
+// Request rate that an upstream with a named limit receives from all daemons of its region. The simulation runs in virtual time,
+// and its callers would send every request to that upstream.
 
 #include "support/limit_fleet.h"
 
@@ -14,23 +14,23 @@
 namespace {
 
 constexpr unsigned seeds = 4;
-constexpr auto before = 6s;
-constexpr auto length = 25s;
+constexpr auto settlingTime = 6s;
+constexpr auto runTime = 25s;
 
-/// Has settled before the limit was named, and played on.
-class PlayedFleet : public LimitFleet
+/// A simulated fleet that settles, then learns of a named limit, and keeps running.
+class SimulatedLimitFleet : public LimitFleet
 {
 public:
-    PlayedFleet(const LimitScenario &scenario, std::uint64_t seed) : LimitFleet(scenario, LimitWay::FewHolders, seed)
+    SimulatedLimitFleet(const LimitScenario &scenario, std::uint64_t seed) : LimitFleet(scenario, LimitWay::FewHolders, seed)
     {
-        play(before);
+        play(settlingTime);
         name(scenario.perSecond);
-        play(length);
+        play(runTime);
     }
 };
 
-/// In every four seconds from five seconds after the naming on, whatever goes wrong meanwhile.
-void keepsToLimit(const LimitTroubles &troubles)
+/// Checks every 4 s from 5 s after the limit was named against the tolerance of worstPart(), despite the @p troubles.
+void checkLimitKept(const LimitTroubles &troubles)
 {
     for (const unsigned daemons : { 8U, 61U, 300U }) {
         for (const double perSecond : { 1.0, 0.5, 0.1 }) {
@@ -38,7 +38,7 @@
                 CAPTURE(daemons);
                 CAPTURE(perSecond);
                 CAPTURE(seed);
-                CHECK(PlayedFleet({ daemons, 2, perSecond, troubles }, seed).worstPart() <= 1);
+                CHECK(SimulatedLimitFleet({ daemons, 2, perSecond, troubles }, seed).worstPart() <= 1);
             }
         }
     }
@@ -46,46 +46,46 @@
 
 } // namespace
 
-TEST_CASE("Limit of an upstream, nothing wrong, is kept by all daemons together")
+TEST_CASE("Limit of an upstream, no faults, is kept by all daemons together")
 {
-    keepsToLimit({});
+    checkLimitKept({});
 }
 
-TEST_CASE("Limit of an upstream, all daemons killed again and again, is kept")
+TEST_CASE("Limit of an upstream, all daemons killed repeatedly, is kept")
 {
-    keepsToLimit({ .killAll = 0.4 });
+    checkLimitKept({ .killAll = 0.4 });
 }
 
-TEST_CASE("Limit of an upstream, six in ten killed again and again, is kept")
+TEST_CASE("Limit of an upstream, six in ten daemons killed repeatedly, is kept")
 {
-    keepsToLimit({ .killSome = 0.5 });
+    checkLimitKept({ .killSome = 0.5 });
 }
 
-TEST_CASE("Limit of an upstream, daemons cut off from the news and news lost, is kept")
+TEST_CASE("Limit of an upstream, partitioned daemons and lost digests, is kept")
 {
-    keepsToLimit({ .killSome = 0.05, .cut = 0.02, .loss = 0.1 });
+    checkLimitKept({ .killSome = 0.05, .cut = 0.02, .loss = 0.1 });
 }
 
-TEST_CASE("Limit of an upstream, requests that arrive seconds late, is kept")
+TEST_CASE("Limit of an upstream, requests delayed for seconds, is kept")
 {
-    keepsToLimit({ .killSome = 0.05, .holdUp = 0.05 });
+    checkLimitKept({ .killSome = 0.05, .holdUp = 0.05 });
 }
 
-TEST_CASE("Limit of an upstream, nothing wrong, is for the most part used")
+TEST_CASE("Limit of an upstream, no faults, is mostly used")
 {
     for (const double perSecond : { 0.5, 2.0, 20.0 }) {
         CAPTURE(perSecond);
-        const double used = PlayedFleet({ 8, 6, perSecond, {} }, 1).usedPart();
+        const double used = SimulatedLimitFleet({ 8, 6, perSecond, {} }, 1).usedPart();
         CHECK(used >= 0.75);
         CHECK(used <= 1.05);
     }
 }
 
-TEST_CASE("Limit of an upstream, no longer named, leaves it to all daemons after some seconds")
+TEST_CASE("Limit of an upstream, no longer named, stops applying to all daemons within seconds")
 {
-    PlayedFleet fleet({ 8, 2, 1, {} }, 1);
+    SimulatedLimitFleet fleet({ 8, 2, 1, {} }, 1);
     fleet.name(0);
     fleet.play(12s);
-    // Sixteen a second come, and all would go there.
+    // Callers send 16 requests per second, all of which would go to this upstream.
     CHECK(fleet.arrivedLately(2s) >= 20);
 }
--- a/tests/gateway/limit_table_tests.cpp
+++ b/tests/gateway/limit_table_tests.cpp
@@ -21,21 +21,21 @@
 constexpr std::uint64_t upstream = 7;
 const SteadyTime start{ 1h };
 
-/// A book in which an answer named two requests a second.
+/// A table in which an answer named a limit of two requests per second.
 class NamedLimitFixture
 {
 public:
     NamedLimitFixture()
     {
-        book.named(upstream, 2, start);
+        table.named(upstream, 2, start);
     }
 
-    KnownLimit told(double perSecond, bool ended, SteadyTime answeredAt) const
+    KnownLimit reportedLimit(double perSecond, bool ended, SteadyTime answeredAt) const
     {
         return { perSecond, ended, {}, answeredAt, false, "other" };
     }
 
-    LimitTable book;
+    LimitTable table;
 };
 
 LimitReading read(std::initializer_list<const char *> values)
@@ -49,17 +49,17 @@
 
 } // namespace
 
-TEST_CASE("Limit reading, decimal numbers, are rates")
+TEST_CASE("Limit reading, decimal numbers, are read as rates")
 {
     CHECK(read({}).kind == LimitKind::Absent);
     CHECK(read({ "2.5" }).perSecond == 2.5);
     CHECK(read({ "40" }).perSecond == 40);
-    // One that takes nothing must be able to say that it takes something again.
+    // An upstream that accepts no requests still needs an occasional one, in whose answer it can raise the limit again.
     CHECK(read({ "0" }).perSecond == minNamedRate);
     CHECK(read({ "1e300" }).perSecond == maxNamedRate);
 }
 
-TEST_CASE("Limit reading, texts that are no rate, are unreadable")
+TEST_CASE("Limit reading, malformed rates, are unreadable")
 {
     for (const char *text : { "", "-1", "nan", "inf", "-inf", "many", "2 a second", "2,5", "0x10",
                               "1.00000000000000000000000000000000000001", "1e999" }) {
@@ -68,14 +68,14 @@
     }
 }
 
-TEST_CASE("Limit reading, several values, is the lowest that can be read")
+TEST_CASE("Limit reading, several values, is the lowest readable one")
 {
     CHECK(read({ "5", "2", "9" }).perSecond == 2);
     CHECK(read({ "many", "3" }).perSecond == 3);
     CHECK(read({ "3", "many" }).perSecond == 3);
 }
 
-TEST_CASE("Limit reading, random bytes, is a bounded rate or none")
+TEST_CASE("Limit reading, random bytes, give a bounded rate or none")
 {
     rc::check([](const std::string &text) {
         const LimitReading reading = read({ text.c_str() });
@@ -83,75 +83,75 @@
     });
 }
 
-TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, answer without one to a request sent later, has ended")
+TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, answer without a limit to a request sent later, ends")
 {
-    CHECK(book.answeredWithout(upstream, start + 1ms, start + 1s) == LimitChange::Ended);
-    CHECK(book.find(upstream)->ended);
+    CHECK(table.answeredWithout(upstream, start + 1ms, start + 1s) == LimitChange::Ended);
+    CHECK(table.find(upstream)->ended);
 }
 
-TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, answer without one to a request sent before, stands")
+TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, answer without a limit to a request sent before, remains")
 {
-    CHECK(book.answeredWithout(upstream, start - 1ms, start + 1s) == LimitChange::None);
-    CHECK_FALSE(book.find(upstream)->ended);
+    CHECK(table.answeredWithout(upstream, start - 1ms, start + 1s) == LimitChange::None);
+    CHECK_FALSE(table.find(upstream)->ended);
 }
 
-TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, news that are older, stands")
+TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, older report of another daemon, remains")
 {
-    CHECK(book.reported(upstream, told(9, false, start - 1s), start + 1s) == LimitChange::None);
-    CHECK(book.reported(upstream, told(2, true, start - 1s), start + 1s) == LimitChange::None);
-    CHECK(book.find(upstream)->perSecond == 2);
+    CHECK(table.reported(upstream, reportedLimit(9, false, start - 1s), start + 1s) == LimitChange::None);
+    CHECK(table.reported(upstream, reportedLimit(2, true, start - 1s), start + 1s) == LimitChange::None);
+    CHECK(table.find(upstream)->perSecond == 2);
 }
 
-TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, news that are newer, are taken")
+TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, newer report of another daemon, is replaced")
 {
-    CHECK(book.reported(upstream, told(3, false, start + 1s), start + 2s) == LimitChange::Changed);
-    CHECK(book.reported(upstream, told(3, true, start + 2s), start + 3s) == LimitChange::Ended);
-    CHECK(book.reported(upstream, told(1, false, start + 3s), start + 4s) == LimitChange::Named);
+    CHECK(table.reported(upstream, reportedLimit(3, false, start + 1s), start + 2s) == LimitChange::Changed);
+    CHECK(table.reported(upstream, reportedLimit(3, true, start + 2s), start + 3s) == LimitChange::Ended);
+    CHECK(table.reported(upstream, reportedLimit(1, false, start + 3s), start + 4s) == LimitChange::Named);
 }
 
-TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, the same told back with the time of travel, grows no younger")
+TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, same limit reported back with transit delay, keeps its age")
 {
     for (int times = 1; times <= 20; ++times) {
-        book.reported(upstream, told(2, false, book.find(upstream)->answeredAt + 20ms), start + times * 100ms);
+        table.reported(upstream, reportedLimit(2, false, table.find(upstream)->answeredAt + 20ms), start + times * 100ms);
     }
-    CHECK(book.find(upstream)->answeredAt == start);
+    CHECK(table.find(upstream)->answeredAt == start);
 }
 
-TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, record of the platform, counts only where nothing newer is known")
+TEST_CASE_FIXTURE(NamedLimitFixture, "Named limit, record of the platform, applies only where nothing newer is known")
 {
-    CHECK(book.stored(upstream, 9, start + 1s) == LimitChange::None);
-    CHECK(book.stored(upstream + 1, 9, start + 1s) == LimitChange::Named);
-    CHECK(book.reported(upstream + 1, told(4, false, start - 10min), start + 2s) == LimitChange::Changed);
-    CHECK(book.find(upstream + 1)->perSecond == 4);
-    CHECK(book.stored(upstream + 2, 0, start) == LimitChange::None);
-    CHECK(book.find(upstream + 2) == nullptr);
+    CHECK(table.stored(upstream, 9, start + 1s) == LimitChange::None);
+    CHECK(table.stored(upstream + 1, 9, start + 1s) == LimitChange::Named);
+    CHECK(table.reported(upstream + 1, reportedLimit(4, false, start - 10min), start + 2s) == LimitChange::Changed);
+    CHECK(table.find(upstream + 1)->perSecond == 4);
+    CHECK(table.stored(upstream + 2, 0, start) == LimitChange::None);
+    CHECK(table.find(upstream + 2) == nullptr);
 }
 
-// A VM that has just been made has a clock that counts from its start: what others say may be older than that.
-TEST_CASE("Limit of the platform's record, older news on a VM that has just started, gives way")
+// The steady clock of a new VM counts from its start, so reports of other daemons may lie before the epoch of that clock.
+TEST_CASE("Limit of the platform's record, older report on a VM that has just started, is replaced")
 {
-    LimitTable book;
-    CHECK(book.stored(upstream, 9, SteadyTime{ 2s }) == LimitChange::Named);
-    CHECK(book.reported(upstream, { 4, false, {}, SteadyTime{ 3s } - 10min, false, "other" }, SteadyTime{ 3s })
+    LimitTable table;
+    CHECK(table.stored(upstream, 9, SteadyTime{ 2s }) == LimitChange::Named);
+    CHECK(table.reported(upstream, { 4, false, {}, SteadyTime{ 3s } - 10min, false, "other" }, SteadyTime{ 3s })
           == LimitChange::Changed);
-    CHECK(book.find(upstream)->perSecond == 4);
+    CHECK(table.find(upstream)->perSecond == 4);
 }
 
-TEST_CASE("Limit of the platform's record, answer without one, has ended")
+TEST_CASE("Limit of the platform's record, answer without a limit, ends")
 {
-    LimitTable book;
-    book.stored(upstream, 9, start);
-    CHECK(book.answeredWithout(upstream, start + 1ms, start + 1s) == LimitChange::Ended);
+    LimitTable table;
+    table.stored(upstream, 9, start);
+    CHECK(table.answeredWithout(upstream, start + 1ms, start + 1s) == LimitChange::Ended);
 }
 
-TEST_CASE("Ended limit, told of an upstream that never named one, is nothing new")
+TEST_CASE("Ended limit, reported for an upstream that never named one, changes nothing")
 {
-    LimitTable book;
-    CHECK(book.reported(upstream, { 2, true, {}, start, false, "other" }, start) == LimitChange::None);
-    CHECK(book.find(upstream) == nullptr);
+    LimitTable table;
+    CHECK(table.reported(upstream, { 2, true, {}, start, false, "other" }, start) == LimitChange::None);
+    CHECK(table.find(upstream) == nullptr);
 }
 
-TEST_CASE("Limit pace, any length of idleness, lets no two requests go at once")
+TEST_CASE("Limit pace, any idle time, does not admit two requests at once")
 {
     LimitPace pace(start);
     pace.setRate(2, start);
@@ -163,7 +163,7 @@
     CHECK(pace.wait() <= 250ms);
 }
 
-TEST_CASE("Limit pace, share that went to others meanwhile, begins with nothing")
+TEST_CASE("Limit pace, share held by other daemons meanwhile, starts without credit")
 {
     LimitPace pace(start);
     pace.setRate(2, start);
@@ -173,7 +173,7 @@
     CHECK_FALSE(pace.ready());
 }
 
-TEST_CASE("Limit announcer, daemons that fall silent, is followed by the next in rank")
+TEST_CASE("Limit announcer, silent for a while, is replaced by the daemon next in rank")
 {
     LimitAnnouncer first;
     LimitAnnouncer second;
@@ -184,7 +184,7 @@
     CHECK(second.due(upstream, { 1, 3 }, start + 600ms));
 }
 
-TEST_CASE("Limit announcer, any size of the region, sends no more than fifty datagrams a second")
+TEST_CASE("Limit announcer, any size of the region, sends at most fifty datagrams per second")
 {
     for (const std::size_t members : { 3U, 61U, 300U }) {
         CAPTURE(members);
@@ -197,7 +197,7 @@
     }
 }
 
-TEST_CASE("Holders of a limit, any rate and fleet, have shares of one a second or there is one")
+TEST_CASE("Holders of a limit, any rate and fleet size, have shares of at least one per second, or there is only one")
 {
     CHECK(holdersOf(0.1, 300) == 1);
     CHECK(holdersOf(2.5, 300) == 2);
@@ -205,7 +205,7 @@
     CHECK(holdersOf(1e6, 0) == 1);
 }
 
-TEST_CASE("Record of a limit, written and read, is the same")
+TEST_CASE("Record of a limit, written and read back, is unchanged")
 {
     const LeasedRecord record = limitRecord({ 0xabcdef, 2.5 });
     const std::optional<StoredLimit> limit = readLimitRecord(record.key, record.text);
@@ -214,7 +214,7 @@
     CHECK(limit->perSecond == 2.5);
 }
 
-TEST_CASE("Record of a limit, damaged, is none")
+TEST_CASE("Record of a limit, malformed, is rejected")
 {
     const std::string key = limitRecord({ 1, 1 }).key;
     for (const char *text : { "", "{}", "[]", "2", "{\"perSecond\":\"2\"}", "{\"perSecond\":null}", "{\"perSecond\":1e400}" }) {
--- a/tests/gateway/load_aggregation_tests.cpp
+++ b/tests/gateway/load_aggregation_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What daemons of a large fleet know of each other's load and life, and what telling it costs. Datagrams are handed on in memory.
+// Load and liveness that daemons of a large fleet know of each other, and the traffic for it. Datagrams are passed in memory.
 
 #include "portpaddle/base/system_clock.h"
 #include "portpaddle/fleet/load_aggregation.h"
@@ -40,8 +40,8 @@
     return facts;
 }
 
-/// Daemons of two regions that tell each other through memory.
-class NewsFixture
+/// Daemons of two regions that exchange digests in memory.
+class LoadAggregationFixture
 {
 public:
     struct Daemon
@@ -50,7 +50,7 @@
             : limits(
                 id, region, [](std::uint32_t, SteadyTime) { return false; },
                 [](const std::string &, SteadyTime) { return false; })
-            , news(id, region, loads, regions, limits)
+            , aggregation(id, region, loads, regions, limits)
         {
             regions.setOwnRegion(region);
             regions.setDigestInterval(digestInterval);
@@ -59,12 +59,12 @@
         UpstreamLoads loads;
         RegionTable regions;
         OrganisationLimits limits;
-        LoadAggregation news;
+        LoadAggregation aggregation;
         std::uint64_t sequence = 0;
         bool dead = false;
     };
 
-    /// @p each daemons in each region, and @p upstreams there.
+    /// Creates @p each daemons and @p upstreams upstreams in each region.
     void build(unsigned each, unsigned upstreams)
     {
         view = std::make_shared<FleetView>();
@@ -89,31 +89,31 @@
             Daemon &daemon = *daemons[record.id];
             daemon.loads.keepOnly(*view);
             daemon.regions.setDaemons(*view, now);
-            daemon.news.setView(view);
+            daemon.aggregation.setView(view);
         }
     }
 
-    /// All daemons tell what is due, as often as they do in @p time.
+    /// Lets all daemons send their due digests every 100 ms for @p time.
     void run(std::chrono::milliseconds time)
     {
         for (const SteadyTime end = now + time; now < end; now += 100ms) {
             ++turn;
             for (auto &[id, daemon] : daemons) {
                 if (!daemon->dead) {
-                    tell(id, *daemon);
+                    sendDueDigests(id, *daemon);
                 }
             }
         }
     }
 
-    void tell(const std::string &id, Daemon &daemon)
+    void sendDueDigests(const std::string &id, Daemon &daemon)
     {
         Wire::LoadDigestT header;
         header.daemon = id;
         header.region = id.substr(0, id.find('-'));
         header.phase = Wire::DaemonPhase::Serving;
         const auto addWaits = [](Wire::LoadDigestT &digest) { digest.services = { { 7, 10, 20, 30, 5, 100, 2, 1 } }; };
-        for (OutgoingDigest &outgoing : daemon.news.due(turn, header, addWaits, now)) {
+        for (OutgoingDigest &outgoing : daemon.aggregation.due(turn, header, addWaits, now)) {
             outgoing.digest.sequence = ++daemon.sequence;
             const std::vector<std::uint8_t> datagram = encodeDigest(outgoing.digest);
             CHECK(datagram.size() <= maxLoadDatagramBytes);
@@ -131,7 +131,7 @@
         REQUIRE(isOk(digest));
         if (!to.dead) {
             to.regions.applyDigest(valueOf(digest), now);
-            to.news.take(valueOf(digest), now);
+            to.aggregation.take(valueOf(digest), now);
         }
     }
 
@@ -157,7 +157,7 @@
     std::shared_ptr<FleetView> view;
     std::map<std::string, std::unique_ptr<Daemon>> daemons;
     std::map<std::string, unsigned> sent;
-    /// Of all datagrams.
+    /// Total size of all datagrams.
     std::size_t bytes = 0;
     SteadyTime now = start;
     std::size_t turn = 0;
@@ -165,7 +165,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(NewsFixture, "Fleet news, load of all daemons of a region, is known to each of them and counted once")
+TEST_CASE_FIXTURE(LoadAggregationFixture,
+                  "Load aggregation, load of all daemons of a region, is known to each of them and counted once")
 {
     build(40, 10);
     run(1s);
@@ -185,7 +186,8 @@
     }
 }
 
-TEST_CASE_FIXTURE(NewsFixture, "Fleet news, upstreams that all requests left, are known to be idle and cost nothing")
+TEST_CASE_FIXTURE(LoadAggregationFixture,
+                  "Load aggregation, upstreams without requests left, are known to be idle and cause no traffic")
 {
     build(40, 200);
     run(1s);
@@ -206,7 +208,7 @@
     CHECK(bytesOfSecond() <= idle);
 }
 
-TEST_CASE_FIXTURE(NewsFixture, "Fleet news, gatherer that dies, is replaced within two seconds")
+TEST_CASE_FIXTURE(LoadAggregationFixture, "Load aggregation, aggregator that dies, is replaced within two seconds")
 {
     build(40, 10);
     run(1s);
@@ -227,7 +229,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(NewsFixture, "Fleet news, daemons of other regions, are all known to live")
+TEST_CASE_FIXTURE(LoadAggregationFixture, "Load aggregation, daemons of other regions, are all known to be alive")
 {
     build(60, 4);
     run(4s);
@@ -244,11 +246,12 @@
     }
 }
 
-TEST_CASE_FIXTURE(NewsFixture,
-                  "Fleet news, three times as many daemons, cost an ordinary one no more and all of them less than four times")
+TEST_CASE_FIXTURE(
+    LoadAggregationFixture,
+    "Load aggregation, three times as many daemons, median daemon sends no more and all send less than four times as much")
 {
     const auto measure = [](unsigned each) {
-        NewsFixture fleet;
+        LoadAggregationFixture fleet;
         fleet.build(each, 20);
         fleet.run(1s);
         fleet.sent.clear();
@@ -260,33 +263,33 @@
         std::sort(counts.begin(), counts.end());
         return std::pair(counts.at(counts.size() / 2), fleet.allSent());
     };
-    const auto [usualOfFew, allOfFew] = measure(30);
-    const auto [usualOfMany, allOfMany] = measure(90);
-    CHECK(usualOfMany <= usualOfFew);
+    const auto [medianOfFew, allOfFew] = measure(30);
+    const auto [medianOfMany, allOfMany] = measure(90);
+    CHECK(medianOfMany <= medianOfFew);
     CHECK(allOfMany < 4 * allOfFew);
 }
 
-TEST_CASE_FIXTURE(NewsFixture,
-                  "Gatherers, one that takes reports and sends no sums, is avoided, and not for reports that went elsewhere")
+TEST_CASE_FIXTURE(LoadAggregationFixture,
+                  "Aggregators, one that receives reports and sends no sums, is avoided, but not while reports go to others")
 {
     build(40, 0);
-    Aggregators gatherers("north-x", [](const std::string &, SteadyTime) { return false; });
-    gatherers.setView(view);
-    const std::string first = gatherers.of("north", 0, now)->id;
-    // It sends sums, then others are reported to for a while: nothing is due from it.
-    gatherers.noteReportSent(first, now);
-    gatherers.noteSumsReceived(first, now + 100ms);
-    gatherers.noteReportSent(first, now + 10s);
-    CHECK(gatherers.of("north", 0, now + 10s)->id == first);
+    Aggregators aggregators("north-x", [](const std::string &, SteadyTime) { return false; });
+    aggregators.setView(view);
+    const std::string first = aggregators.of("north", 0, now)->id;
+    // The aggregator sent its sums, then reports went to others for a while, so that no sums are due from this one.
+    aggregators.noteReportSent(first, now);
+    aggregators.noteSumsReceived(first, now + 100ms);
+    aggregators.noteReportSent(first, now + 10s);
+    CHECK(aggregators.of("north", 0, now + 10s)->id == first);
     for (SteadyTime time = now + 10s; time < now + 12s; time += 100ms) {
-        gatherers.noteReportSent(first, time);
+        aggregators.noteReportSent(first, time);
     }
-    CHECK(gatherers.of("north", 0, now + 12s)->id != first);
-    gatherers.noteSumsReceived(first, now + 13s);
-    CHECK(gatherers.of("north", 0, now + 13s)->id == first);
+    CHECK(aggregators.of("north", 0, now + 12s)->id != first);
+    aggregators.noteSumsReceived(first, now + 13s);
+    CHECK(aggregators.of("north", 0, now + 13s)->id == first);
 }
 
-TEST_CASE_FIXTURE(NewsFixture, "Role ranking, strong VMs among many small ones, go first")
+TEST_CASE_FIXTURE(LoadAggregationFixture, "Role ranking, VMs with many CPU cores among many small ones, usually rank first")
 {
     build(50, 0);
     for (std::size_t index = 0; index < 4; ++index) {
@@ -299,7 +302,7 @@
     CHECK(strongFirst > 80);
 }
 
-TEST_CASE("Settled owner, daemons with the same list, are never two and one once it is known for a while")
+TEST_CASE("Stable owner, daemons with the same list, none at first and exactly one once the list is stable")
 {
     std::vector<std::uint64_t> members;
     std::vector<std::unique_ptr<StableOwner>> owners;
@@ -320,7 +323,7 @@
     }
 }
 
-TEST_CASE("Settled owner, list that changes, lets the new owner wait until the old one must have heard")
+TEST_CASE("Stable owner, list that changes, new owner waits until the old one must know of the change")
 {
     const std::vector<std::string> ids{ "a", "b", "c", "d" };
     std::vector<std::uint64_t> all;
@@ -333,7 +336,7 @@
             owners.push_back(std::make_unique<StableOwner>(id));
             owners.back()->setMembers({ all[0], all[1], all[2] }, start);
         }
-        // Each hears at another time, the last one two seconds after the first.
+        // Each daemon learns of the change at a different time, the last one two seconds after the first.
         for (std::size_t index = 0; index < ids.size(); ++index) {
             owners[index]->setMembers(all, start + 10s + std::chrono::milliseconds(index * 660));
         }
@@ -347,7 +350,7 @@
 
 namespace {
 
-/// Three daemons of one region, listed and heard.
+/// Three daemons of one region, which are listed and have sent a digest.
 class RegionTableFixture
 {
 public:
@@ -362,11 +365,11 @@
         table.setOwnRegion("north");
         table.setDaemons(view, start);
         for (const DaemonRecord &daemon : view.daemons) {
-            tell(daemon.id, "south", Wire::DaemonPhase::Serving);
+            applyDigestOf(daemon.id, "south", Wire::DaemonPhase::Serving);
         }
     }
 
-    void tell(const std::string &daemon, const std::string &region, Wire::DaemonPhase phase)
+    void applyDigestOf(const std::string &daemon, const std::string &region, Wire::DaemonPhase phase)
     {
         Wire::LoadDigestT digest;
         digest.daemon = daemon;
@@ -392,20 +395,21 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(RegionTableFixture, "Region table, digest that names a region nobody is listed in, offers no such region")
+TEST_CASE_FIXTURE(RegionTableFixture, "Region table, digest naming a region without listed daemons, does not offer that region")
 {
-    tell("stranger", "nowhere", Wire::DaemonPhase::Serving);
+    applyDigestOf("stranger", "nowhere", Wire::DaemonPhase::Serving);
     CHECK(regionsOffered() == std::vector<std::string>{ "south" });
 }
 
-TEST_CASE_FIXTURE(RegionTableFixture, "Region table, daemon beside an ending one, is one that serves before one that stops")
+TEST_CASE_FIXTURE(RegionTableFixture,
+                  "Region table, alternative to an ending daemon, is a serving one rather than a stopping one")
 {
-    tell("south-1", "south", Wire::DaemonPhase::Stopping);
+    applyDigestOf("south-1", "south", Wire::DaemonPhase::Stopping);
     for (int attempt = 0; attempt < 20; ++attempt) {
         const DaemonRecord *beside = table.pickBeside(view, view.daemons[0], start, random);
         REQUIRE(beside != nullptr);
         CHECK(beside->id == "south-2");
     }
-    tell("south-2", "south", Wire::DaemonPhase::Starting);
+    applyDigestOf("south-2", "south", Wire::DaemonPhase::Starting);
     CHECK(table.pickBeside(view, view.daemons[0], start, random)->id == "south-1");
 }
--- a/tests/gateway/notice_book_tests.cpp
+++ b/tests/gateway/notice_book_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What a daemon remembers of what upstreams said, and how it reads that.
+// Notices of upstreams in their answers (leaving, Retry-After): how a daemon parses and keeps them.
 
 #include "portpaddle/base/metrics.h"
 #include "portpaddle/upstream_notices/upstream_notices.h"
@@ -14,17 +14,17 @@
 
 namespace {
 
-class NoticeBookFixture
+class UpstreamNoticesFixture
 {
 public:
-    void leaves(const std::string &upstream)
+    void announceLeaving(const std::string &upstream)
     {
         AnswerNotice notice;
         notice.leaving = LeavingNotice::Leaving;
         notices.answered(upstream, notice, now);
     }
 
-    void asks(const std::string &upstream, std::chrono::milliseconds time)
+    void requestBackoff(const std::string &upstream, std::chrono::milliseconds time)
     {
         AnswerNotice notice;
         notice.backoff = { RetryAfterKind::Named, time };
@@ -59,51 +59,52 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, life that is over, takes nothing any more")
+TEST_CASE_FIXTURE(UpstreamNoticesFixture, "Notices, incarnation that has ended, exclude it for every request")
 {
     notices.incarnationEnded("e", now);
     CHECK(exclusionReason("e") == ExclusionReason::Leaving);
-    leaves("e");
+    announceLeaving("e");
     CHECK(notices.exclusionForMovedRun("e", now) == ExclusionReason::Leaving);
 }
 
-TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, run whose memory lies at an upstream that leaves, may go on there")
+TEST_CASE_FIXTURE(UpstreamNoticesFixture, "Notices, moved run whose memory lies at a leaving upstream, may continue there")
 {
-    leaves("e");
+    announceLeaving("e");
     CHECK(exclusionReason("e") == ExclusionReason::Leaving);
     CHECK(notices.exclusionForMovedRun("e", now) == ExclusionReason::None);
-    asks("e", 1s);
+    requestBackoff("e", 1s);
     CHECK(notices.exclusionForMovedRun("e", now) == ExclusionReason::BackingOff);
 }
 
-TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, shorter time after a longer one, ends with the longer one")
+TEST_CASE_FIXTURE(UpstreamNoticesFixture, "Notices, shorter backoff after a longer one, ends with the longer one")
 {
-    asks("e", 3s);
+    requestBackoff("e", 3s);
     now += 1s;
-    asks("e", 500ms);
-    asks("e", 0ms);
+    requestBackoff("e", 500ms);
+    requestBackoff("e", 0ms);
     now += 1900ms;
     CHECK(exclusionReason("e") == ExclusionReason::BackingOff);
     now += 100ms;
     CHECK(exclusionReason("e") == ExclusionReason::None);
 }
 
-TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, several upstreams that asked for time, tell the first that may be asked")
+TEST_CASE_FIXTURE(UpstreamNoticesFixture, "Notices, several upstreams backing off, give the earliest end of a backoff")
 {
     const std::vector<std::string> ids{ "a", "b", "c" };
-    asks("a", 3s);
-    asks("b", 2s);
-    leaves("b");
-    asks("c", 5s);
-    const std::vector<const std::string *> asked{ &ids[0], &ids[1], &ids[2] };
-    CHECK(notices.earliestBackoffEnd(asked, now) == 3s);
+    requestBackoff("a", 3s);
+    requestBackoff("b", 2s);
+    announceLeaving("b");
+    requestBackoff("c", 5s);
+    const std::vector<const std::string *> candidates{ &ids[0], &ids[1], &ids[2] };
+    CHECK(notices.earliestBackoffEnd(candidates, now) == 3s);
 }
 
-TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, more lives than there is room for, forget those that are longest out of the view")
+TEST_CASE_FIXTURE(UpstreamNoticesFixture,
+                  "Notices, more unlisted incarnations than the maximum, forget those unlisted for longest")
 {
-    leaves("listed");
-    for (std::size_t life = 0; life < maxUnlistedIncarnations + 500; ++life) {
-        leaves("e" + std::to_string(life));
+    announceLeaving("listed");
+    for (std::size_t index = 0; index < maxUnlistedIncarnations + 500; ++index) {
+        announceLeaving("e" + std::to_string(index));
         now += 1ms;
     }
     list({ "listed" });
@@ -113,9 +114,9 @@
     CHECK(exclusionReason("e" + std::to_string(maxUnlistedIncarnations + 499)) == ExclusionReason::Leaving);
 }
 
-TEST_CASE_FIXTURE(NoticeBookFixture, "Notices, time that is over for a life out of the view, are forgotten")
+TEST_CASE_FIXTURE(UpstreamNoticesFixture, "Notices, backoff of an unlisted incarnation has ended, are forgotten")
 {
-    asks("e", 1s);
+    requestBackoff("e", 1s);
     list({});
     CHECK(notices.incarnationCount() == 1);
     now += 2s;
@@ -123,7 +124,7 @@
     CHECK(notices.incarnationCount() == 0);
 }
 
-TEST_CASE("Retry-After, each form that HTTP allows, is read")
+TEST_CASE("Retry-After, each form that HTTP allows, is parsed")
 {
     const auto wall = std::chrono::system_clock::from_time_t(784'111'777);
     CHECK(read("3").time == 3s);
@@ -137,7 +138,7 @@
     CHECK(read("Sun, 06 Nov 1994 08:49:30 GMT", wall).time == 0s);
 }
 
-TEST_CASE("Retry-After, what is no time, is unreadable")
+TEST_CASE("Retry-After, malformed time, is unreadable")
 {
     for (const char *value : { "", "-1", "-0.5", "nan", "inf", "-inf", "soon", "3 s", "0x3", "1e3", "--1", "Sun, 06 Nov 1994" }) {
         CAPTURE(value);
@@ -146,7 +147,7 @@
     CHECK(readRetryAfter({}, {}).kind == RetryAfterKind::Absent);
 }
 
-TEST_CASE("Retry-After, any bytes, is a time within its bounds or none")
+TEST_CASE("Retry-After, any bytes, give a time within bounds or none")
 {
     rc::check([](const std::string &value) {
         const RetryAfter after = read(value);
--- a/tests/gateway/notice_fleet_tests.cpp
+++ b/tests/gateway/notice_fleet_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What upstreams get that leave or asked for time, from each of many daemons in virtual time, and what callers get beside it.
+// Requests to upstreams that leave or asked for a backoff, per daemon and in virtual time, and the share of callers served.
 
 #include "support/notice_fleet.h"
 
@@ -12,10 +12,10 @@
 
 namespace {
 
-// In each time that an upstream asks for, of one daemon.
-constexpr std::size_t maxAllowed = 2;
+// Requests of one daemon during one backoff of an upstream.
+constexpr std::size_t maxRequestsPerBackoff = 2;
 
-/// Two of four upstreams leave, and @p shortOf are short for a while; the entries say nothing of either.
+/// Two of four upstreams leave, and @p shortOf turn requests away for a while. Their store records show neither.
 void play(NoticeFleet &fleet, unsigned shortOf)
 {
     fleet.play(5s);
@@ -27,8 +27,8 @@
     fleet.play(10s);
 }
 
-/// Where one upstream is left callers lose nothing; where none is, no more than in the time that all want nothing.
-void keepsToNotices(const NoticeTroubles &troubles)
+/// Checks that callers lose no requests while one upstream accepts them, and otherwise only while all upstreams back off.
+void checkNoticesRespected(const NoticeTroubles &troubles)
 {
     for (const unsigned daemons : { 8U, 61U, 300U }) {
         for (const unsigned shortOf : { 3U, 4U }) {
@@ -40,7 +40,7 @@
                 NoticeFleet fleet(scenario, NoticeWay::Own, seed);
                 play(fleet, shortOf);
                 CHECK(fleet.afterLeaving() == 0);
-                CHECK(fleet.mostWithinTime() <= maxAllowed);
+                CHECK(fleet.mostWithinTime() <= maxRequestsPerBackoff);
                 CHECK(fleet.servedPart() >= (shortOf < 4 ? 0.99 : 0.8));
             }
         }
@@ -49,27 +49,27 @@
 
 } // namespace
 
-TEST_CASE("Notices of upstreams, nothing else wrong, are kept by every daemon")
+TEST_CASE("Notices of upstreams, no other faults, are respected by every daemon")
 {
-    keepsToNotices({});
+    checkNoticesRespected({});
 }
 
-TEST_CASE("Notices of upstreams, all daemons killed again and again, are kept by each that was told")
+TEST_CASE("Notices of upstreams, all daemons killed repeatedly, are respected by each daemon that received them")
 {
-    keepsToNotices({ .killAll = 0.4 });
+    checkNoticesRespected({ .killAll = 0.4 });
 }
 
-TEST_CASE("Notices of upstreams, six in ten daemons killed again and again, are kept by each that was told")
+TEST_CASE("Notices of upstreams, six in ten daemons killed repeatedly, are respected by each daemon that received them")
 {
-    keepsToNotices({ .killSome = 0.5 });
+    checkNoticesRespected({ .killSome = 0.5 });
 }
 
-TEST_CASE("Notices of upstreams, callers that move and connections that hold bytes back, are kept")
+TEST_CASE("Notices of upstreams, callers concentrated on some daemons and delayed connections, are respected")
 {
-    keepsToNotices({ .holdUp = 0.1, .moveCallers = 0.3 });
+    checkNoticesRespected({ .holdUp = 0.1, .moveCallers = 0.3 });
 }
 
-TEST_CASE("Notices of upstreams, entries that lapse and come back, are kept")
+TEST_CASE("Notices of upstreams, store records that expire and return, are respected")
 {
-    keepsToNotices({ .killSome = 0.1, .lapse = 0.3 });
+    checkNoticesRespected({ .killSome = 0.1, .lapse = 0.3 });
 }
