--- a/tests/introspective/claim_tests.cpp
+++ b/tests/introspective/claim_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Claims on calls that may not be repeated, and the audit trail, under the platform's faults.
+// Claims on at-most-once calls, and the audit trail, while the platform is down or loses replies.
 
 #include "portpaddle/base/system_clock.h"
 #include "portpaddle/claims/claim_store.h"
@@ -20,9 +20,9 @@
 class ClaimFixture
 {
 public:
-    Result<Claim> acquire(ClaimStore &book)
+    Result<Claim> acquire(ClaimStore &store)
     {
-        return book.acquire("o", "s", "key-1");
+        return store.acquire("o", "s", "key-1");
     }
 
     ManualClock clock;
@@ -46,7 +46,7 @@
     CHECK(isOk(second.acquire("other", "s", "key-1")));
 }
 
-TEST_CASE_FIXTURE(ClaimFixture, "Claim, call ran, repeat is told so")
+TEST_CASE_FIXTURE(ClaimFixture, "Claim, call has run, second acquisition is refused as already run")
 {
     const Result<Claim> claim = acquire(first);
     first.markRan(valueOf(claim));
@@ -66,7 +66,7 @@
     CHECK(errorOf(acquire(second)).code == ErrorCode::DuplicateRequest);
 }
 
-TEST_CASE_FIXTURE(ClaimFixture, "Claim, platform down, is refused as not run with a time to come back")
+TEST_CASE_FIXTURE(ClaimFixture, "Claim, platform down, is refused as not run with a retry time")
 {
     platform.setFaults(PlatformFaults{ .down = true, .losesReplies = false });
     const Result<Claim> refused = acquire(first);
@@ -76,7 +76,7 @@
     CHECK(errorOf(refused).retryAfter.has_value());
 }
 
-TEST_CASE_FIXTURE(ClaimFixture, "Claim, holder paused for a day, is too old to send under before its record vanishes")
+TEST_CASE_FIXTURE(ClaimFixture, "Claim, holder paused for a day, send deadline passes before the claim record expires")
 {
     const Result<Claim> claim = acquire(first);
     clock.advance(Millis{ 24 * 3'600'000 });
@@ -99,7 +99,7 @@
     CHECK(granted == 1);
 }
 
-TEST_CASE_FIXTURE(ClaimFixture, "Audit trail, platform down, keeps entries and writes them once it is back")
+TEST_CASE_FIXTURE(ClaimFixture, "Audit trail, platform down, keeps entries and writes them once the platform is available")
 {
     AuditTrail trail(platform, clock, "d1");
     platform.setFaults(PlatformFaults{ .down = true, .losesReplies = false });
@@ -121,8 +121,8 @@
 
 namespace {
 
-/// Goes down right after a write whose reply is lost, so that its fate cannot be read back.
-class VanishingPlatform : public MemoryPlatform
+/// Becomes unavailable right after a write whose reply is lost, so that the writer cannot read back whether it succeeded.
+class UnavailableAfterWritePlatform : public MemoryPlatform
 {
 public:
     using MemoryPlatform::MemoryPlatform;
@@ -130,7 +130,7 @@
     Result<std::uint64_t> put(const std::string &key, const std::string &value, std::uint64_t expected,
                               std::uint64_t lease) override
     {
-        if (!vanishes) {
+        if (!failsAfterWrite) {
             return MemoryPlatform::put(key, value, expected, lease);
         }
         setFaults(PlatformFaults{ .down = false, .losesReplies = true });
@@ -139,26 +139,25 @@
         return result;
     }
 
-    bool vanishes = true;
+    bool failsAfterWrite = true;
 };
 
 } // namespace
 
-TEST_CASE(
-    "Claim, write whose fate cannot be learned, is not sent under, and a repeat through the same daemon takes its place once")
+TEST_CASE("Claim, write with unknown outcome, is refused, and only the same daemon acquires the key again, once")
 {
     ManualClock clock;
-    VanishingPlatform platform(clock);
+    UnavailableAfterWritePlatform platform(clock);
     SeededRandom random(1);
-    ClaimStore book(platform, clock, random, "d1");
-    const Result<Claim> unproved = book.acquire("o", "s", "key-1");
-    REQUIRE(!isOk(unproved));
-    CHECK(errorOf(unproved).code == ErrorCode::ClaimUnavailable);
-    CHECK(errorOf(unproved).run == RunState::NotRun);
-    platform.vanishes = false;
+    ClaimStore store(platform, clock, random, "d1");
+    const Result<Claim> unconfirmed = store.acquire("o", "s", "key-1");
+    REQUIRE(!isOk(unconfirmed));
+    CHECK(errorOf(unconfirmed).code == ErrorCode::ClaimUnavailable);
+    CHECK(errorOf(unconfirmed).run == RunState::NotRun);
+    platform.failsAfterWrite = false;
     platform.setFaults({});
     ClaimStore other(platform, clock, random, "d2");
     CHECK(errorOf(other.acquire("o", "s", "key-1")).code == ErrorCode::DuplicateRequest);
-    CHECK(isOk(book.acquire("o", "s", "key-1")));
-    CHECK(errorOf(book.acquire("o", "s", "key-1")).code == ErrorCode::DuplicateRequest);
+    CHECK(isOk(store.acquire("o", "s", "key-1")));
+    CHECK(errorOf(store.acquire("o", "s", "key-1")).code == ErrorCode::DuplicateRequest);
 }
--- a/tests/introspective/cost_tests.cpp
+++ b/tests/introspective/cost_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Bounds on costs that repeat exactly: allocations, bytes and calls to the platform. Time is judged in benchmarks only.
+// Bounds on deterministic costs: allocations, bytes and calls to the platform. Only benchmarks measure time.
 
 #include "portpaddle/base/system_clock.h"
 #include "portpaddle/claims/claim_store.h"
@@ -24,7 +24,7 @@
 
 } // namespace
 
-// Counting replaces the allocator of the whole test program; each thread counts its own.
+// These operators replace the allocator of the whole test program; each thread counts its own allocations.
 void *operator new(std::size_t size)
 {
     ++allocations;
@@ -99,28 +99,28 @@
     CHECK(allocationsOfDecision(300) == few);
 }
 
-TEST_CASE("Cost, gossip, a bare probe and each digest keep to their bytes")
+TEST_CASE("Cost, gossip, empty probe and each digest stay within their size bounds")
 {
     CHECK(encodedSize(messageWith(0)) <= 120);
     CHECK(encodedSize(messageWith(40)) - encodedSize(messageWith(20)) == 20 * 24);
 }
 
-TEST_CASE("Cost, claims, one write each and a lease an hour")
+TEST_CASE("Cost, claims, take one write each and one lease per hour")
 {
     ManualClock clock;
     MemoryPlatform platform(clock);
     SeededRandom random(1);
-    ClaimStore book(platform, clock, random, "d");
+    ClaimStore store(platform, clock, random, "d");
     for (int index = 0; index < 100; ++index) {
-        const Result<Claim> claim = book.acquire("o", "s", "key-" + std::to_string(index));
+        const Result<Claim> claim = store.acquire("o", "s", "key-" + std::to_string(index));
         REQUIRE(isOk(claim));
-        book.markRan(valueOf(claim));
+        store.markRan(valueOf(claim));
     }
     CHECK(platform.calls().writes == 101);
     CHECK(platform.calls().reads == 0);
 }
 
-TEST_CASE("Cost, an accepted change, one write and one read, and hundreds of bytes whatever the tree")
+TEST_CASE("Cost, accepted change, takes one write and one read, and hundreds of bytes for a tree of any size")
 {
     ManualClock clock;
     MemoryPlatform platform(clock);
--- a/tests/introspective/decision_tests.cpp
+++ b/tests/introspective/decision_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The decision as a pure function.
+// The routing decision, tested as a pure function of snapshot and request.
 
 #include "portpaddle/base/system_clock.h"
 #include "portpaddle/routing/decision.h"
@@ -110,7 +110,7 @@
     CHECK(decision.candidates.size() == 2);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, leaving engine, gets nothing by any of the signals")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, engine marked as leaving by any signal, is not chosen")
 {
     for (const LeavingSignal signal : { LeavingSignal::Settings, LeavingSignal::OwnReport, LeavingSignal::VmList }) {
         snapshot->upstreams.clear();
@@ -123,7 +123,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, ejected or tried engine or wrong version, is left out with the reason")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, engine ejected, already tried or of another version, is excluded with the reason")
 {
     addEngine("e1", 0).healthy = false;
     addEngine("e2", 0);
@@ -140,7 +140,7 @@
     CHECK(reasonOf(pinned, 1, false) == ExclusionReason::VersionAbsent);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, long shared prompt, goes to the same engine until that one is loaded")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, long shared prefix, is routed to the same engine until that engine is loaded")
 {
     for (int index = 0; index < 6; ++index) {
         addEngine("e" + std::to_string(index), 1);
@@ -163,7 +163,7 @@
     CHECK(run({ 0, 8 }).target == 0);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, region forbidden for the request, refuses and chooses nothing")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, region forbidden for the request, is refused without a choice")
 {
     addEngine("e1", 0);
     facts.organisation = "abroad";
@@ -172,7 +172,8 @@
     CHECK(decision.refusal == ErrorCode::ResidencyForbids);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, bound request with full engines, waits at home and is never sent away")
+TEST_CASE_FIXTURE(DecisionFixture,
+                  "Decision, request bound to its region with full engines, is queued locally and never forwarded")
 {
     addEngine("e1", 20);
     addRemote("s1", "south", 100, 0);
@@ -182,7 +183,7 @@
     CHECK(reasonOf(decision, 0, true) == ExclusionReason::ResidencyForbids);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, own engines full, sends away to the nearest region with room")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, own engines full, forwards to the nearest region with free capacity")
 {
     addEngine("e1", 20);
     addRemote("w1", "west", 100, 0);
@@ -192,7 +193,7 @@
     CHECK(decision.target == 1);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, place passed before, is never chosen again")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, place visited before, is never chosen again")
 {
     addEngine("e1", 20);
     addRemote("s1", "south", 100, 0);
@@ -205,7 +206,7 @@
     CHECK(reasonOf(run(), 0, true) == ExclusionReason::HopLimit);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, free engine at home, is preferred over an emptier region")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, free engine in the own region, is preferred over a less loaded region")
 {
     addEngine("e1", 3);
     addRemote("s1", "south", 100, 0);
@@ -214,7 +215,7 @@
     CHECK(reasonOf(decision, 0, true) == ExclusionReason::MarginNotReached);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, many daemons with the same summary, together send about what is free")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, many daemons with the same summary, together forward about the free capacity")
 {
     addEngine("e1", 20);
     addRemote("s1", "south", 20, 10);
@@ -230,7 +231,7 @@
     CHECK(sent >= 10 * rounds * 0.8);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, stale or unreachable summary, is not acted on")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, stale summary or unreachable region, is not used")
 {
     addEngine("e1", 20);
     addRemote("s1", "south", 100, 0).observedAt = now - Millis{ 60'000 };
@@ -241,7 +242,8 @@
     CHECK(reasonOf(decision, 1, true) == ExclusionReason::Unreachable);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, everything full, interactive is refused with a time and deferrable waits")
+TEST_CASE_FIXTURE(DecisionFixture,
+                  "Decision, all engines full, interactive request is refused with a retry time and deferrable one is queued")
 {
     addEngine("e1", 40);
     const Decision refused = run();
@@ -252,7 +254,7 @@
     CHECK(run().verdict == Verdict::Wait);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, deferrable work, leaves room for interactive until it has aged")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, deferrable request, leaves the reserve for interactive requests until it has aged")
 {
     addEngine("e1", 7);
     facts.service = "later";
@@ -264,7 +266,7 @@
     CHECK(run().verdict == Verdict::Serve);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, warming engine, gets a share of its slots")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, warming engine, is used up to a share of its slots")
 {
     addEngine("e1", 1).admitted = 0.1;
     addEngine("e2", 4);
@@ -300,7 +302,7 @@
 }
 
 TEST_CASE_FIXTURE(DecisionFixture,
-                  "Decision, deferrable work whose prefix holder is full, waits for it rather than be read anew elsewhere")
+                  "Decision, deferrable request with full prefix holder, is queued for the holder instead of prefilled elsewhere")
 {
     for (int index = 0; index < 4; ++index) {
         addEngine("e" + std::to_string(index), 0);
@@ -321,7 +323,7 @@
 }
 
 TEST_CASE_FIXTURE(DecisionFixture,
-                  "Decision, daemons of one data centre with the same report, do not overrun the reserve together")
+                  "Decision, daemons of one data centre with the same report, together do not exceed the reserve")
 {
     addEngine("e1", 4);
     facts.service = "later";
@@ -337,14 +339,14 @@
     CHECK(sent >= 2 * rounds * 0.8);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, own region lost and share of the other one spent, waits for the next summary")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, own region lost and share of the other region used up, waits for the next summary")
 {
     addEngine("e1", 0).leaving = LeavingSignal::OwnReport;
     addRemote("s1", "south", 100, 99);
     CHECK(run({}, { 5 }).verdict == Verdict::Wait);
 }
 
-TEST_CASE_FIXTURE(DecisionFixture, "Decision, idle engine with few slots, is not taken for a busy one")
+TEST_CASE_FIXTURE(DecisionFixture, "Decision, idle engine with few slots, is not treated as busy")
 {
     addEngine("e1", 0).slots = 2;
     addRemote("s1", "south", 100, 0);
--- a/tests/introspective/dispatch_tests.cpp
+++ b/tests/introspective/dispatch_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The way of a request through attempts, retries, resumption and failure.
+// Dispatch of a request: attempts, retries, resumption and failure.
 
 #include "portpaddle/base/metrics.h"
 #include "portpaddle/base/system_clock.h"
@@ -85,7 +85,7 @@
         return call;
     }
 
-    /// Sends tokens from the one asked for up to @p end, then the closing event if @p whole.
+    /// Sends the tokens from the requested one up to @p end, then the closing event if @p whole, else half an event.
     static AttemptResult sendTokens(const Call &call, AnswerSink &sink, unsigned end, bool whole)
     {
         sink.head(AnswerHead{ 200, {} });
@@ -126,7 +126,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, stream breaks in the middle, goes on at the next token on another engine")
+TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, stream breaks in the middle, resumes at the next token on another engine")
 {
     std::vector<std::string> asked;
     upstreams.script = [&](const std::string &address, const Call &call, AnswerSink &into) {
@@ -143,7 +143,7 @@
     CHECK(metrics.value(Counter::Resumes) == 2);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, stream that ends without its closing event, is not taken for whole")
+TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, stream without closing event, is not treated as complete")
 {
     upstreams.script = [&](const std::string &, const Call &call, AnswerSink &into) {
         sendTokens(call, into, 3, false);
@@ -155,8 +155,7 @@
     CHECK(sink.text().find(closingEvent) == std::string::npos);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture,
-                  "Dispatch, engines that cannot be reached, are left for another and refused as not run at last")
+TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, unreachable engines, others are tried before the request is refused as not run")
 {
     upstreams.script = [](const std::string &, const Call &, AnswerSink &) { return neverSent(); };
     const Status status = dispatcher.run(chatCall(), sink);
@@ -165,7 +164,7 @@
     CHECK(upstreams.attempts == 3);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, call that may not be repeated breaks after it left, is not sent again")
+TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, at-most-once call breaks after it was sent, is not sent again")
 {
     upstreams.script = [](const std::string &, const Call &, AnswerSink &) { return brokenOff(); };
     const Status status = dispatcher.run(plainCall("POST", "/desk/confirm", "k1"), sink);
@@ -178,8 +177,7 @@
     CHECK(upstreams.attempts == 1);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture,
-                  "Dispatch, call that may not be repeated never left, goes to another upstream under the same claim")
+TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, at-most-once call was never sent, goes to another upstream under the same claim")
 {
     upstreams.script = [&](const std::string &, const Call &, AnswerSink &into) {
         if (upstreams.attempts == 1) {
@@ -193,7 +191,7 @@
     CHECK(platform.calls().writes == 2);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, claim whose call was never run, is given back so that a repeat may run")
+TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, claim whose call never ran, is released so that a retry may run")
 {
     upstreams.script = [](const std::string &, const Call &, AnswerSink &) { return neverSent(); };
     CHECK(errorOf(dispatcher.run(plainCall("POST", "/desk/confirm", "k1"), sink)).run == RunState::NotRun);
@@ -220,7 +218,7 @@
     CHECK(isOk(dispatcher.run(plainCall("GET", "/desk/balance"), sink)));
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, call that is not declared repeatable, is sent once when its answer is cut")
+TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, call not declared retryable, is sent once when its answer is cut")
 {
     upstreams.script = [](const std::string &, const Call &, AnswerSink &) { return brokenOff(); };
     CHECK(errorOf(dispatcher.run(plainCall("POST", "/desk/note"), sink)).run == RunState::MayHaveRun);
@@ -243,7 +241,7 @@
     CHECK(metrics.value(Counter::Retries) >= requests / 10);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, upstream that fails three times, is ejected and comes back slowly")
+TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, upstream fails three times, is ejected and returns gradually")
 {
     upstreams.script = [](const std::string &, const Call &, AnswerSink &) { return neverSent(); };
     for (int index = 0; index < 3; ++index) {
@@ -265,7 +263,7 @@
     CHECK(viewOf().admitted == doctest::Approx(0.5));
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, deadline passes while an answer flows, the answer is cut and not called whole")
+TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, deadline passes during an answer, answer is cut and not reported as complete")
 {
     upstreams.script = [&](const std::string &, const Call &call, AnswerSink &into) {
         into.head(AnswerHead{ 200, {} });
@@ -281,7 +279,7 @@
     CHECK(errorOf(status).code == ErrorCode::DeadlineExceeded);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, other data centre breaks off, stream is resumed and never sent there again")
+TEST_CASE_FIXTURE(DispatchFixture, "Dispatch, other data centre breaks off, stream is resumed and not sent there again")
 {
     auto summaries = std::make_shared<SummaryTable>();
     summaries->entries.push_back(SummaryEntry{ "s1", "m", 1, 100, 0, 0, { "" }, clock.monotonic() });
@@ -360,7 +358,7 @@
     CHECK(checkForwarded(call, {}, 1, *inSouth, false)->code == ErrorCode::ResidencyForbids);
 }
 
-TEST_CASE("Token stream, events cut anywhere, passes whole events only and counts tokens")
+TEST_CASE("Token stream, events split anywhere, passes complete events only and counts tokens")
 {
     const std::string all = tokenEvent("a") + "data: {\"choices\":[{\"delta\":{}}]}\n\n" + tokenEvent("b") + closingEvent;
     for (std::size_t cut = 0; cut <= all.size(); ++cut) {
@@ -376,7 +374,7 @@
     }
 }
 
-TEST_CASE("Token stream, opening event with empty content, is no token")
+TEST_CASE("Token stream, opening event with empty content, is not counted as a token")
 {
     RecordingSink sink;
     TokenStream stream(sink);
@@ -384,7 +382,7 @@
     CHECK(stream.tokens() == 0);
 }
 
-TEST_CASE("Answer channel, slow reader, stalls its writer until the reader goes away")
+TEST_CASE("Answer channel, slow reader, blocks its writer until the reader disconnects")
 {
     AnswerChannel channel(10);
     std::atomic<bool> refused{ false };
--- a/tests/introspective/docs_tests.cpp
+++ b/tests/introspective/docs_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The documentation against the code: reference pages, and nothing named that does not exist.
+// Checks that the reference pages agree with the code, and that links and source files named in the documentation exist.
 
 #include "portpaddle/base/file.h"
 #include "reference/pages.h"
@@ -46,7 +46,7 @@
     CHECK(contentsOf(sourceDirectory / "docs/policy.md") == policyPage());
 }
 
-TEST_CASE("Documentation, links and source files that it names, exist")
+TEST_CASE("Documentation, links and named source files, exist")
 {
     const std::regex link(R"(\]\(([^)#]+)\))");
     const std::regex source(R"(`((?:src|benchmarks|tests|tools|wire)/[A-Za-z0-9_./-]+)`)");
--- a/tests/introspective/limit_tests.cpp
+++ b/tests/introspective/limit_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Limits of organisations in slices over many daemons.
+// Limits of organisations, divided into slices over many daemons.
 
 #include "portpaddle/limits/limiter.h"
 
@@ -16,7 +16,7 @@
 
 constexpr Millis step{ 100 };
 
-/// Many limiters that hear of each other's demand after a delay, on a hand-moved clock.
+/// Runs many limiters that learn of each other's demand after a delay, on a manual clock.
 class FleetFixture
 {
 public:
@@ -29,12 +29,12 @@
         wanted.resize(daemons, 0);
         offered.resize(daemons, 0);
         admitted.resize(daemons, 0);
-        heard.resize(daemons, std::vector<double>(daemons, 0));
+        receivedDemand.resize(daemons, std::vector<double>(daemons, 0));
         groups.resize(daemons, 0);
         exchange();
     }
 
-    /// Lets @p time pass with arrivals at the wanted rates; returns how many were admitted.
+    /// Advances the clock by @p time with arrivals at the wanted rates; returns the number of admitted requests.
     unsigned pass(Millis time)
     {
         const unsigned before = total();
@@ -64,11 +64,11 @@
             std::vector<OthersDemand> others;
             bool partitioned = false;
             for (std::size_t other = 0; other < limiters.size(); ++other) {
-                const bool hears = groups[index] == groups[other];
-                partitioned = partitioned || !hears;
-                heard[index][other] = hears ? demand[other] : heard[index][other];
+                const bool reachable = groups[index] == groups[other];
+                partitioned = partitioned || !reachable;
+                receivedDemand[index][other] = reachable ? demand[other] : receivedDemand[index][other];
                 if (other != index) {
-                    others.push_back(OthersDemand{ "o", heard[index][other] });
+                    others.push_back(OthersDemand{ "o", receivedDemand[index][other] });
                 }
             }
             limiters[index]->update(others, static_cast<unsigned>(limiters.size()), partitioned, now);
@@ -86,7 +86,7 @@
     std::vector<double> wanted;
     std::vector<double> offered;
     std::vector<unsigned> admitted;
-    std::vector<std::vector<double>> heard;
+    std::vector<std::vector<double>> receivedDemand;
     std::vector<int> groups;
 };
 
@@ -122,7 +122,7 @@
     CHECK(pass(Millis{ 10'000 }) >= 80 * 10 * 0.7);
 }
 
-TEST_CASE_FIXTURE(FleetFixture, "Limits, fleet cut in two with new demand on both sides, each side lives on its slices")
+TEST_CASE_FIXTURE(FleetFixture, "Limits, fleet partitioned with new demand on both sides, each side stays within its slices")
 {
     wanted.assign(8, 20);
     pass(Millis{ 30'000 });
@@ -136,7 +136,7 @@
     CHECK(pass(Millis{ 10'000 }) <= 80 * 10 * 1.05);
 }
 
-TEST_CASE("Limits, refusal, says when to come back and that nothing ran")
+TEST_CASE("Limits, refusal, carries a retry time and reports as not run")
 {
     Limiter limiter;
     RequestPolicy policy;
@@ -152,7 +152,7 @@
     CHECK(isOk(limiter.admit("other", policy, 0, now)));
 }
 
-TEST_CASE("Limits, requests in progress, are given back when they end")
+TEST_CASE("Limits, requests in progress, are released when they end")
 {
     Limiter limiter;
     RequestPolicy policy;
@@ -166,7 +166,7 @@
     CHECK(isOk(limiter.admit("o", policy, 0, now)));
 }
 
-TEST_CASE("Limits, tokens, are paid off after a request larger than the bucket")
+TEST_CASE("Limits, request larger than the token bucket, is paid off by later refills")
 {
     Limiter limiter;
     RequestPolicy policy;
@@ -178,7 +178,7 @@
 }
 
 TEST_CASE_FIXTURE(FleetFixture,
-                  "Limits, every daemon cut off from every other with new demand, the sum stays within twice the limit")
+                  "Limits, all daemons partitioned from each other with new demand, sum stays within twice the limit")
 {
     wanted.assign(8, 20);
     pass(Millis{ 30'000 });
--- a/tests/introspective/membership_tests.cpp
+++ b/tests/introspective/membership_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Membership and gossip on a hand-moved clock, with cuts, pauses and replaced VMs.
+// Membership and gossip on a manual clock, with partitions, pauses and replaced VMs.
 
 #include "support/gossip_network.h"
 
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("Member list, update about us that says we are suspected or dead, is refuted by a higher incarnation")
+TEST_CASE("Member list, update that reports the own member as suspected or dead, is refuted by a higher incarnation")
 {
     MemberList list(memberOf("self", 5, MemberState::Alive), Millis{ 1 });
     CHECK(list.apply(memberOf("self", 5, MemberState::Suspect), Millis{ 2 }) == UpdateEffect::RefutationNeeded);
@@ -56,7 +56,7 @@
     CHECK(list.self().incarnation == 10);
 }
 
-TEST_CASE("Member list, leaving, is not undone by a late word that it is alive")
+TEST_CASE("Member list, leaving member, is not set back by a late alive update")
 {
     MemberList list(memberOf("self", 1, MemberState::Alive), Millis{ 1 });
     list.apply(memberOf("x", 3, MemberState::Leaving), Millis{ 1 });
@@ -67,7 +67,7 @@
     CHECK(list.find("x")->update.state == MemberState::Alive);
 }
 
-TEST_CASE("Member list, one that leaves and is refuting, stays leaving")
+TEST_CASE("Member list, leaving member refutes an update, stays leaving")
 {
     MemberList list(memberOf("self", 1, MemberState::Alive), Millis{ 1 });
     list.leave();
@@ -94,7 +94,7 @@
     }
 }
 
-TEST_CASE("Gossip message, report on its way, keeps its age whatever the clocks")
+TEST_CASE("Gossip message, report in transit, keeps its age whatever the clocks show")
 {
     GossipMessage message;
     message.sender = "a";
@@ -117,7 +117,7 @@
     CHECK(network.passUntil(Millis{ 30'000 }, [&] { return network.allSee("n-b", MemberState::Dead); }));
 }
 
-TEST_CASE_FIXTURE(GossipFixture, "Membership, paused process that goes on, refutes and is alive again everywhere")
+TEST_CASE_FIXTURE(GossipFixture, "Membership, paused process resumes, refutes and is alive again everywhere")
 {
     network.pause("n-b", true);
     REQUIRE(network.passUntil(Millis{ 30'000 },
@@ -127,7 +127,8 @@
     CHECK(network.node("n-b").members().self().incarnation > 1);
 }
 
-TEST_CASE_FIXTURE(GossipFixture, "Membership, regions cut off, nobody is declared dead and both sides know of the cut")
+TEST_CASE_FIXTURE(GossipFixture,
+                  "Membership, regions partitioned, no member is declared dead and both sides detect the partition")
 {
     network.lost = across;
     network.pass(Millis{ 120'000 });
@@ -140,7 +141,7 @@
     CHECK(network.passUntil(Millis{ 10'000 }, [&] { return !network.node("n-a").memberTable(network.now).partitioned; }));
 }
 
-TEST_CASE_FIXTURE(GossipFixture, "Membership, one-way cut between two daemons, third one vouches and nobody dies")
+TEST_CASE_FIXTURE(GossipFixture, "Membership, one-way cut between two daemons, neither is declared dead by a third one")
 {
     network.lost = [](const std::string &from, const std::string &to) { return from == "n-a" && to == "n-b"; };
     for (int second = 0; second < 120; ++second) {
@@ -150,7 +151,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(GossipFixture, "Membership, data centre cut in itself, views meet again when it heals")
+TEST_CASE_FIXTURE(GossipFixture, "Membership, data centre partitioned internally, views converge after the partition ends")
 {
     network.lost = [](const std::string &from, const std::string &to) { return (from == "n-c") != (to == "n-c"); };
     network.pass(Millis{ 60'000 });
@@ -159,7 +160,7 @@
     CHECK(network.passUntil(Millis{ 120'000 }, [&] { return network.allSeeAllAlive(); }));
 }
 
-TEST_CASE_FIXTURE(GossipFixture, "Membership, VM replaced at the same address under the same name, new one is believed")
+TEST_CASE_FIXTURE(GossipFixture, "Membership, VM replaced at the same address under the same name, new incarnation is accepted")
 {
     network.remove("n-b");
     network.pass(Millis{ 2'000 });
@@ -167,7 +168,7 @@
     CHECK(network.passUntil(Millis{ 60'000 }, [&] { return network.allSeeAllAlive(); }));
 }
 
-TEST_CASE_FIXTURE(GossipFixture, "Membership, replaced VM whose clock went back, outdoes what is remembered of it")
+TEST_CASE_FIXTURE(GossipFixture, "Membership, replaced VM with an earlier clock, supersedes the remembered incarnation")
 {
     network.remove("n-b");
     network.pass(Millis{ 30'000 });
@@ -176,7 +177,7 @@
     CHECK(network.node("n-b").members().self().incarnation >= 2);
 }
 
-TEST_CASE_FIXTURE(GossipFixture, "Membership, planned leaving, is known everywhere within three seconds and sticks")
+TEST_CASE_FIXTURE(GossipFixture, "Membership, planned leave, is known everywhere within three seconds and persists")
 {
     network.node("n-b").leave();
     CHECK(network.passUntil(Millis{ 3'000 }, [&] { return network.allSee("n-b", MemberState::Leaving); }));
@@ -223,7 +224,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(GossipFixture, "Gossip, newer settings at a peer, are heard of by everyone")
+TEST_CASE_FIXTURE(GossipFixture, "Gossip, newer settings at a peer, are announced to all members")
 {
     network.node("s-c").setSettingsVersion(9);
     for (const char *id : { "n-a", "n-b", "n-c", "s-a", "s-b" }) {
@@ -232,7 +233,7 @@
     }
 }
 
-TEST_CASE("Gossip, ninety daemons, keep to the budget of bytes and to the size of a datagram")
+TEST_CASE("Gossip, ninety daemons, stay within the byte budget and the datagram size")
 {
     GossipNetwork network;
     constexpr int daemons = 90;
@@ -257,7 +258,7 @@
     CHECK(network.largest <= maxDatagramBytes);
 }
 
-TEST_CASE("Gossip, several seeds of randomness and random cuts, always ends in agreement")
+TEST_CASE("Gossip, several random seeds and random partitions, always converges")
 {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         CAPTURE(seed);
@@ -282,7 +283,7 @@
     }
 }
 
-TEST_CASE("Gossip, planned size of a data centre among many, load digests arrive although summaries are told everywhere")
+TEST_CASE("Gossip, data centre of planned size among many, load digests arrive although summaries are sent everywhere")
 {
     GossipNetwork network;
     constexpr int remotes = 12;
--- a/tests/introspective/order_tests.cpp
+++ b/tests/introspective/order_tests.cpp
@@ -22,7 +22,7 @@
   "/services/m": {}
 })";
 
-/// Engines that remember what they were ordered, one of which checks fences.
+/// Records the orders sent to engines; e2 and engines whose name begins with u check no fence.
 class RecordingEngines : public OrderSender
 {
 public:
@@ -100,7 +100,7 @@
     CHECK(engines.countOf("e2") == 1);
 }
 
-TEST_CASE_FIXTURE(OrderFixture, "Orders, holder paused past its lease, sends nothing when it goes on")
+TEST_CASE_FIXTURE(OrderFixture, "Orders, holder paused past its lease, sends nothing after the pause")
 {
     pass(Millis{ 5'000 }, { &first });
     REQUIRE(first.holdsLease());
@@ -116,11 +116,11 @@
 }
 
 TEST_CASE_FIXTURE(OrderFixture,
-                  "Orders, holder paused between plan and sending, withholds the rest and fences refuse the one under way")
+                  "Orders, holder paused between plan and sending, withholds the rest and fences refuse the order in progress")
 {
     engines.beforeSend = [&] {
         engines.beforeSend = {};
-        // The pause strikes inside the first order; another daemon takes over meanwhile and orders first.
+        // The holder pauses while its first order is sent; another daemon takes over meanwhile and sends its orders first.
         pass(Millis{ 60'000 }, { &second });
     };
     pass(Millis{ 5'000 }, { &first });
@@ -129,8 +129,7 @@
     CHECK(first.recent().front().outcome.find("refused") != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(OrderFixture,
-                  "Orders, engine that does not check fences, is left alone until an old holder's longest pause is over")
+TEST_CASE_FIXTURE(OrderFixture, "Orders, engine that checks no fence, gets no order until an old holder's longest pause is over")
 {
     pass(Millis{ 20'000 }, { &first });
     CHECK(engines.countOf("e1") == 1);
@@ -149,7 +148,7 @@
     CHECK(!second.holdsLease());
 }
 
-TEST_CASE_FIXTURE(OrderFixture, "Orders, platform down, holder goes on only as long as its lease is proved")
+TEST_CASE_FIXTURE(OrderFixture, "Orders, platform down, holder continues only while its lease is confirmed")
 {
     pass(Millis{ 5'000 }, { &first });
     platform.setFaults(PlatformFaults{ .down = true, .losesReplies = false });
@@ -159,7 +158,7 @@
     CHECK(!first.holdsLease());
 }
 
-TEST_CASE_FIXTURE(OrderFixture, "Orders, reply of an engine lost, the order is given again")
+TEST_CASE_FIXTURE(OrderFixture, "Orders, reply of an engine lost, order is sent again")
 {
     engines.loseReplies = true;
     pass(Millis{ 1'000 }, { &first });
@@ -220,6 +219,6 @@
     };
     first.step();
     REQUIRE(second.holdsLease());
-    // The order under way goes to an engine that refuses its fence; the next one's engine checks nothing and must get none.
+    // The order in progress goes to an engine that refuses its fence; the next engine checks no fence and must get no order.
     CHECK(engines.staleOrders == 0);
 }
--- a/tests/introspective/properties_tests.cpp
+++ b/tests/introspective/properties_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Properties over random inputs. CI fixes the seed through RC_PARAMS; by hand each run takes a fresh one and prints it on
+// Properties over random inputs. CI fixes the seed through RC_PARAMS; without it each run takes a new seed and prints it on
 // failure.
 
 #include "portpaddle/base/system_clock.h"
@@ -86,7 +86,7 @@
 
 } // namespace
 
-TEST_CASE("Property, any snapshot, the decision never chooses what residency, health, leaving or the path forbids")
+TEST_CASE("Property, any snapshot, decision never chooses what residency, health, leaving or the path excludes")
 {
     CHECK(rc::check([] {
         const std::shared_ptr<RoutingSnapshot> snapshot = randomSnapshot();
@@ -136,7 +136,7 @@
     }));
 }
 
-TEST_CASE("Property, updates about a member in any order, all lists end with the same belief")
+TEST_CASE("Property, updates about a member in any order, all lists converge to the same state")
 {
     CHECK(rc::check([] {
         std::vector<MemberUpdate> updates;
@@ -161,7 +161,7 @@
     }));
 }
 
-TEST_CASE("Property, stream cut anywhere into any pieces, only whole events pass and the text is unchanged")
+TEST_CASE("Property, stream split anywhere, only complete events pass and the text is unchanged")
 {
     CHECK(rc::check([] {
         std::string all;
@@ -183,7 +183,7 @@
     }));
 }
 
-TEST_CASE("Property, arbitrary bytes, no parser of a listener accepts or breaks")
+TEST_CASE("Property, arbitrary bytes, no parser of a listener accepts them or crashes")
 {
     CHECK(rc::check([] {
         const auto bytes = *rc::gen::arbitrary<std::string>();
--- a/tests/introspective/settings_tests.cpp
+++ b/tests/introspective/settings_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Settings: inheritance, checks, the log with its races and lost replies.
+// Settings: inheritance, validation, and the log with concurrent writers and lost replies.
 
 #include "portpaddle/control/settings_controller.h"
 #include "portpaddle/platform/memory_platform.h"
@@ -60,7 +60,7 @@
     SettingsLog log{ platform, clock };
 };
 
-/// Writes between another writer's reading and writing.
+/// Runs a competing write between another writer's read and its write.
 class RacingStore : public MemoryPlatform
 {
 public:
@@ -69,14 +69,14 @@
     Result<std::uint64_t> put(const std::string &key, const std::string &value, std::uint64_t expected,
                               std::uint64_t lease) override
     {
-        if (intruder) {
-            const auto write = std::exchange(intruder, {});
+        if (competingWrite) {
+            const auto write = std::exchange(competingWrite, {});
             write();
         }
         return MemoryPlatform::put(key, value, expected, lease);
     }
 
-    std::function<void()> intruder;
+    std::function<void()> competingWrite;
 };
 
 bool mentions(const std::vector<SettingsProblem> &problems, const std::string &text)
@@ -99,7 +99,7 @@
     CHECK(tree.resolve("/organisations/o", "cost_weight").path == "built-in");
 }
 
-TEST_CASE("Settings, request policy, organisation beats service and service beats root")
+TEST_CASE("Settings, request policy, organisation overrides service and service overrides root")
 {
     const std::shared_ptr<const CompiledSettings> settings = compiledFrom(smallTree);
     const RequestPolicy &policy = settings->policy("o", "m");
@@ -111,7 +111,7 @@
     CHECK(settings->linkMs("north", "south") == 40);
 }
 
-TEST_CASE("Settings, each kind of mistake, is refused with what is allowed")
+TEST_CASE("Settings, each kind of invalid value, is refused with the allowed values")
 {
     const auto problemsOf = [](const std::string &text) { return checkSettings(treeFrom(text)); };
     CHECK(checkSettings(treeFrom(smallTree)).empty());
@@ -135,7 +135,7 @@
     CHECK(mentions(checkSettings(treeFrom(text)), "an upstream offers the service"));
 }
 
-TEST_CASE("Settings, text with comments, is read, and a broken line is named")
+TEST_CASE("Settings, text with comments, is read, and a malformed line is reported")
 {
     CHECK(isOk(parseSettings("{ // why\n \"/\": {} /* or */ }", "f")));
     const Result<SettingsPatch> broken = parseSettings("{\n\"/\": {\n \"a\" 1}}", "f.jsonc");
@@ -165,7 +165,7 @@
     CHECK(result.nodes().size() == to.nodes().size());
 }
 
-TEST_CASE_FIXTURE(SettingsLogFixture, "Settings log, two operators with the same base, later one is told what moved")
+TEST_CASE_FIXTURE(SettingsLogFixture, "Settings log, two operators with the same base, later one learns which values changed")
 {
     ChangeProposal first = proposalOf("a", weightPatch(3));
     ChangeProposal second = proposalOf("b", weightPatch(4));
@@ -177,12 +177,12 @@
     CHECK(errorOf(refused).message.find("/ away_weight (version 2 by op-a)") != std::string::npos);
 }
 
-TEST_CASE("Settings log, writer that loses the race between read and write, is put after the winner")
+TEST_CASE("Settings log, writer overtaken between read and write, is appended after the other change")
 {
     ManualClock clock;
     RacingStore store(clock);
     SettingsLog log(store, clock);
-    store.intruder = [&] { REQUIRE(isOk(log.propose(proposalOf("winner", weightPatch(3))))); };
+    store.competingWrite = [&] { REQUIRE(isOk(log.propose(proposalOf("winner", weightPatch(3))))); };
     const Result<SettingsChange> accepted = log.propose(proposalOf("loser", weightPatch(4)));
     REQUIRE(isOk(accepted));
     CHECK(valueOf(accepted).version == 2);
@@ -269,7 +269,7 @@
     }
 }
 
-TEST_CASE("Settings controller, two threads that take the same changes, never put an older version in force after a newer one")
+TEST_CASE("Settings controller, two threads apply the same changes, never activate an older version after a newer one")
 {
     constexpr std::uint64_t changes = 300;
     ManualClock clock;
--- a/tests/usage/caller_tests.cpp
+++ b/tests/usage/caller_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What callers see of one daemon, through real sockets.
+// Behaviour of one daemon towards its callers, over real sockets.
 
 #include "support/test_site.h"
 
@@ -33,7 +33,7 @@
         REQUIRE(settle());
     }
 
-    /// Sends raw bytes and returns what comes back until the daemon closes.
+    /// Sends raw bytes and returns the answer up to the end of the connection.
     std::string sendRaw(const std::string &bytes, bool closeEarly = false) const
     {
         const int descriptor = socket(AF_INET, SOCK_STREAM, 0);
@@ -83,7 +83,7 @@
     CHECK(nlohmann::json::parse(models->body)["data"][0]["id"] == "m");
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Caller, bad input of each kind, gets a clear refusal and others go on")
+TEST_CASE_FIXTURE(CallerFixture, "Caller, invalid input of each kind, is refused with a reason and other callers are served")
 {
     httplib::Client client = caller(0);
     const auto post = [&](const std::string &body) { return client.Post("/v1/chat/completions", body, "application/json"); };
@@ -103,7 +103,7 @@
     CHECK(client.Post("/v1/chat/completions", chatBody("x", 1, false), "application/json")->status == 200);
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Caller, long paths and headers and cut bodies, do not hurt the daemon")
+TEST_CASE_FIXTURE(CallerFixture, "Caller, long paths, long headers and truncated bodies, do not disturb the daemon")
 {
     const std::string head = " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer shop-key\r\n";
     for (const std::size_t length : { 513, 2'000, 8'000 }) {
@@ -130,7 +130,7 @@
 
 TEST_CASE_FIXTURE(CallerFixture, "Caller, organisation bound to another region, is refused before the body is read")
 {
-    // Only the head is sent: the refusal must not wait for a body.
+    // Only the head is sent, since the refusal must not wait for a body.
     const std::string head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer bound-key\r\n"
                              "Connection: close\r\nContent-Length: 1000\r\n\r\n";
     const std::string answer = sendRaw(head);
@@ -156,7 +156,8 @@
     CHECK(json["authorization_seen"] == false);
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Caller, answer larger than the bound, is told so and that the call may have run")
+TEST_CASE_FIXTURE(CallerFixture,
+                  "Caller, answer larger than the bound, gets an error that says so and that the call may have run")
 {
     desk->setFault(PlainFault::HugeAnswer);
     const nlohmann::json error = errorIn(caller(0).Get("/desk/everything"));
@@ -164,7 +165,7 @@
     CHECK(error.at("run") == "may_have_run");
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Caller, keyed call whose answer was cut, repeats and is told that it may have run")
+TEST_CASE_FIXTURE(CallerFixture, "Caller, retry of a keyed call whose answer was cut, is refused as possibly run")
 {
     desk->setFault(PlainFault::CutAnswer);
     const httplib::Headers headers{ { "Idempotency-Key", "k9" } };
@@ -177,7 +178,7 @@
     CHECK(desk->runs("k9") == 1);
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Caller, engine breaks off in the middle, reads the whole text once")
+TEST_CASE_FIXTURE(CallerFixture, "Caller, engine breaks off in the middle, reads the complete text once")
 {
     first->breakAfter(3);
     second->breakAfter(4);
@@ -187,7 +188,7 @@
     CHECK(textOf(reply->body) == EngineStandIn::answerText(prompt, 6));
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Caller, all engines break off, sees a cut stream and never a whole one")
+TEST_CASE_FIXTURE(CallerFixture, "Caller, all engines break off, gets a truncated stream and never a complete one")
 {
     first->breakAfter(1);
     second->breakAfter(1);
@@ -197,7 +198,7 @@
     CHECK(!reply);
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Caller, goes away in the middle of a stream, the engine is cancelled")
+TEST_CASE_FIXTURE(CallerFixture, "Caller, disconnects in the middle of a stream, engine run is cancelled")
 {
     first->holdAt(2);
     second->holdAt(2);
@@ -218,7 +219,7 @@
     CHECK(first->tokensProduced() + second->tokensProduced() < 50);
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Caller, slow reader of one stream, does not hold up another")
+TEST_CASE_FIXTURE(CallerFixture, "Caller, slow reader of one stream, does not delay another stream")
 {
     const std::string body = chatBody("slow", 100'000, true);
     const int descriptor = socket(AF_INET, SOCK_STREAM, 0);
@@ -235,7 +236,7 @@
     close(descriptor);
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Caller, many at once with different prompts, each reads its own answer")
+TEST_CASE_FIXTURE(CallerFixture, "Caller, many concurrent callers with different prompts, each reads its own answer")
 {
     constexpr int callers = 32;
     std::vector<std::thread> threads;
@@ -253,7 +254,7 @@
     CHECK(right == callers);
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Caller, engine says that it leaves, it gets nothing new once the report is in")
+TEST_CASE_FIXTURE(CallerFixture, "Caller, engine reports that it leaves, gets no new request once the report has arrived")
 {
     first->setLeaving(true);
     REQUIRE(eventually([&] {
@@ -269,7 +270,7 @@
     CHECK(first->started() == before);
 }
 
-TEST_CASE_FIXTURE(CallerFixture, "Operator, listener, demands its own key and refuses that of a caller")
+TEST_CASE_FIXTURE(CallerFixture, "Operator, admin listener, requires the operator key and refuses a caller's key")
 {
     httplib::Client client("127.0.0.1", addresses[0].admin.port);
     CHECK(client.Get("/admin/status")->status == 401);
--- a/tests/usage/fleet_tests.cpp
+++ b/tests/usage/fleet_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Several daemons in several regions, through real sockets.
+// Several daemons in several regions, over real sockets.
 
 #include "support/test_site.h"
 
@@ -31,7 +31,7 @@
         REQUIRE(settle());
     }
 
-    /// Fills the northern engine with streams that stay until released.
+    /// Fills the northern engine with streams that last until they are released.
     void fillNorth()
     {
         north->holdAt(1);
@@ -66,20 +66,21 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(FleetSite, "Fleet, own engines full, request is served whole by the other region")
+TEST_CASE_FIXTURE(FleetSite, "Fleet, own engines full, request is served completely by the other region")
 {
     fillNorth();
     const httplib::Result reply = caller(0).Post("/v1/chat/completions", chatBody("away", 8, true), "application/json");
     REQUIRE(reply);
     CHECK(textOf(reply->body) == EngineStandIn::answerText("away", 8));
     CHECK(south->started() == 1);
-    // Any VM explains it, here one of another region.
+    // Any VM explains the request, here one of another region.
     const std::optional<std::string> explained = daemons[2]->findExplanation(reply->get_header_value("X-Request-Id"));
     REQUIRE(explained.has_value());
     CHECK(nlohmann::json::parse(*explained)["steps"].back()["verdict"] == "forward");
 }
 
-TEST_CASE_FIXTURE(FleetSite, "Fleet, bound request with its region full, waits and is not sent away, and its trace stays home")
+TEST_CASE_FIXTURE(FleetSite,
+                  "Fleet, bound request with its region full, is queued and not forwarded, and its trace stays in the region")
 {
     fillNorth();
     std::string id;
@@ -96,7 +97,7 @@
     CHECK(!daemons[2]->findExplanation(id).has_value());
 }
 
-TEST_CASE_FIXTURE(FleetSite, "Fleet, serving region vanishes in the middle, stream goes on at home where it broke")
+TEST_CASE_FIXTURE(FleetSite, "Fleet, serving region fails in the middle, stream resumes in the own region where it broke")
 {
     fillNorth();
     south->holdAt(4);
@@ -138,7 +139,7 @@
     CHECK(desk->runs("once") == 1);
 }
 
-TEST_CASE_FIXTURE(FleetSite, "Fleet, change proposed at one VM, is in force at all, and versions only rise")
+TEST_CASE_FIXTURE(FleetSite, "Fleet, change proposed at one VM, becomes active at all VMs, and versions only increase")
 {
     ChangeProposal proposal;
     proposal.changeId = "c";
@@ -157,7 +158,7 @@
     CHECK(daemons[0]->settings().version() == version);
 }
 
-TEST_CASE_FIXTURE(FleetSite, "Fleet, platform down, serving goes on and a fresh VM starts from its peers' word")
+TEST_CASE_FIXTURE(FleetSite, "Fleet, platform down, serving continues and a new VM starts from its peers' data")
 {
     platform.platform().setFaults(PlatformFaults{ .down = true, .losesReplies = false });
     Daemon &fresh = addDaemon("north-c", "north");
@@ -192,7 +193,7 @@
     CHECK(text == EngineStandIn::answerText("kept", 6));
 }
 
-TEST_CASE_FIXTURE(FleetSite, "Fleet, daemon vanishes, others take it off the entry list")
+TEST_CASE_FIXTURE(FleetSite, "Fleet, daemon fails, others remove it from the entry list")
 {
     daemons[1]->membership().stop();
     CHECK(eventually([&] {
--- a/tests/usage/process_failures.py
+++ b/tests/usage/process_failures.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Kills, freezes and outages with every part in a process of its own. Usage: process_failures.py DIRECTORY_OF_PROGRAMS
+"""Tests kills, freezes and outages with each component in its own process. Usage: process_failures.py DIRECTORY_OF_PROGRAMS
 
-Waiting is bounded only to turn a hang into a failure; no verdict depends on how long something took.
+Time limits only turn a hang into a failure; no result depends on how long something took.
 """
 import http.client
 import json
@@ -152,7 +152,7 @@
 
     eventually("the platform is used again", confirmed)
 
-    # The entry daemon is killed between sending a call that may not be repeated and its answer.
+    # The entry daemon is killed after it sent an at-most-once call and before the answer.
     processes["desk"].send_signal(signal.SIGSTOP)
 
     def confirm_through_first():
@@ -177,14 +177,14 @@
     eventually("the killed daemon leaves the entry list", lambda: "north-a" not in entry_ids(second["entry"]))
     check("daemon killed: others serve", caller(second["entry"], "POST", "/v1/chat/completions", chat("y", 2))[0] == 200)
 
-    # A daemon is frozen and goes on.
+    # A daemon is frozen and resumes.
     processes["south-a"].send_signal(signal.SIGSTOP)
     eventually("the frozen daemon's region is not offered", lambda: "south-a" not in entry_ids(second["entry"]))
     processes["south-a"].send_signal(signal.SIGCONT)
     eventually("it is offered again when it goes on", lambda: "south-a" in entry_ids(second["entry"]))
     check("daemon frozen and back: it is offered again", True)
 
-    # A planned stop with a stream in progress.
+    # A daemon is stopped as planned while a stream is in progress.
     result.clear()
     reader = threading.Thread(target=lambda: result.update(body=caller(second["entry"], "POST", "/v1/chat/completions", chat("long", 400))[1]))
     reader.start()
