--- a/tests/support/daemon_records.h
+++ b/tests/support/daemon_records.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Records of daemons for tests.
+/// Daemon records for tests.
 #pragma once
 
 #include "portpaddle/gateway/fleet_view.h"
@@ -10,7 +10,7 @@
 
 namespace Portpaddle {
 
-/// A daemon that callers reach at its own id; @p region has one data centre.
+/// Returns the record of a daemon whose addresses equal its id; @p region has one data centre.
 inline DaemonRecord daemonIn(const std::string &id, const std::string &region, bool leaving = false)
 {
     DaemonRecord record;
--- a/tests/support/eventually.h
+++ b/tests/support/eventually.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Waiting for what must happen in the end. The bound only turns a hang into a failure; no verdict depends on speed.
+/// Waits for a condition that must become true. The bound only turns a hang into a failure; no result depends on speed.
 #pragma once
 
 #include <chrono>
--- a/tests/support/gateway_site.cpp
+++ b/tests/support/gateway_site.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-// A part of the retry budget is full after that.
+// A daemon that was listed for this time has its full part of the retry budget.
 constexpr std::chrono::seconds listedForLong{ 20 };
 
 constexpr timeval hangBound{ 20, 0 };
--- a/tests/support/gateway_site.h
+++ b/tests/support/gateway_site.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A gateway on an event loop of its own, with a caller that speaks HTTP by hand.
+/// A gateway on its own event loop, and a caller that writes raw HTTP.
 #pragma once
 
 #include "portpaddle/base/metrics.h"
@@ -20,18 +20,18 @@
 
 namespace Portpaddle {
 
-/// An answer as the caller saw it.
+/// An answer as the caller received it.
 struct SeenAnswer
 {
     int status = 0;
     std::string head;
-    /// Decoded from chunks where it was chunked.
+    /// Body, with any chunked encoding removed.
     std::string body;
     /// The lines after the last chunk.
     std::string trailer;
-    /// All of it came: the length was met, or the last chunk was there.
+    /// Whether the complete body arrived, up to its length or its last chunk.
     bool whole = false;
-    /// The connection ended after it.
+    /// Whether the connection ended after the answer.
     bool closed = false;
 };
 
@@ -43,9 +43,9 @@
     ~RawCaller();
 
     void send(const std::string &bytes);
-    /// Reads one answer; hangs are turned into a failure after 20 s.
+    /// Reads one answer; a hang becomes a failure after 20 s.
     SeenAnswer receive();
-    /// True if the peer closes the connection.
+    /// Returns whether the peer closes the connection.
     bool closedByPeer();
     void leave();
 
@@ -56,17 +56,17 @@
     std::string buffer_;
 };
 
-/// Headers of a prompt of which so much lies in the region of a remote daemon that it is asked first; see addRemoteDaemon().
+/// Headers of a prompt with a prefix cached in a remote daemon's region, long enough to prefer that; see addRemoteDaemon().
 inline constexpr const char *keptElsewhere = "X-Token-Counts: 20000,10\r\nX-Prompt-Parts: a:19000,b:1000\r\n";
 
-/// Route "/plain/" repeats, "/once/" does not, "/stream/" is a stream, "/resume/" one that may be continued; two attempts each
-/// but for "/single/". All lead to service "s".
+/// Route "/plain/" is retryable, "/once/" is not, "/stream/" is a stream, "/resume/" a resumable one; two attempts each except
+/// for "/single/". All routes lead to service "s".
 class GatewaySite
 {
 public:
     enum class Routes { Published, Unknown };
 
-    /// Whether this daemon has been on the store's list for long, or never was.
+    /// Whether this daemon has been on the store's list for a long time, or never was.
     enum class Registration { Listed, Unlisted };
 
     explicit GatewaySite(Routes known = Routes::Published, Registration registration = Registration::Listed);
@@ -74,33 +74,33 @@
 
     void addUpstream(const std::string &id, const std::string &address);
     void removeUpstream(const std::string &id);
-    /// One that bears few requests a second for a minute.
+    /// Adds an upstream that takes only few requests per second for a minute.
     void addColdUpstream(const std::string &id, const std::string &address);
-    /// A daemon of another region that tells of an idle upstream there, which keeps the prompt of a request with @p headers.
+    /// Adds a daemon of another region that reports an idle upstream, which caches the prompt of a request with @p headers.
     void addRemoteDaemon(const std::string &id, const std::string &region, const std::string &address,
                          const std::string &headers);
-    /// One of the own region.
+    /// Adds a daemon of the own region.
     void addDaemon(const std::string &id);
     void removeDaemon(const std::string &id);
-    /// The upstream takes no more requests and is gone in a moment.
+    /// Announces that the upstream takes no more requests and ends shortly.
     void announceEnd(const std::string &id, const std::string &address);
-    /// Bounds without which verdicts would hang on the speed of the machine are out of the way; call setOptions() after a change.
+    /// Options whose time bounds are raised so that no result depends on machine speed; call setOptions() after a change.
     GatewayOptions terms;
     void setOptions();
-    /// Changes the routes before they are published; call publishRoutes() after.
+    /// Routes of the gateway; call publishRoutes() after a change.
     ServiceMap routes;
     void publishRoutes();
     /// Runs @p work on the gateway's loop and waits for it.
     void onLoop(std::function<void(Gateway &)> work);
-    /// From now on closes the callers' idle connections between any two steps of the loop.
+    /// Turns on or off that callers' idle connections are closed between any two steps of the loop.
     void closeIdleOnEveryTurn(bool on);
     std::string address() const;
-    /// Where other daemons reach it.
+    /// Returns the address for other daemons.
     std::string linkAddress() const;
     /// Sends one request and reads its answer.
     SeenAnswer ask(const std::string &path, const std::string &id, const std::string &moreHeaders = {},
                    const std::string &body = {});
-    /// The same as a daemon of another region does.
+    /// Sends the request as a daemon of another region does, and reads its answer.
     SeenAnswer askAsDaemon(const std::string &path, const std::string &id, const std::string &moreHeaders = {},
                            const std::string &body = {});
     static std::string request(const std::string &path, const std::string &id, const std::string &moreHeaders = {},
--- a/tests/support/gossip_network.h
+++ b/tests/support/gossip_network.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Gossip nodes on one hand-moved clock, with links that count bytes and that tests cut.
+/// Gossip nodes on one manual clock; their links count bytes and can be cut by tests.
 #pragma once
 
 #include "portpaddle/base/system_clock.h"
@@ -63,7 +63,7 @@
         return nodes_;
     }
 
-    /// Paused nodes neither send nor receive; what is sent to them is lost.
+    /// Pauses or resumes a node. Paused nodes neither send nor receive; datagrams sent to them are lost.
     void pause(const std::string &id, bool paused)
     {
         paused_[id] = paused;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Passes time until @p condition holds; false after @p limit.
+    /// Advances the clock until @p condition holds; returns false after @p limit.
     bool passUntil(Millis limit, const std::function<bool()> &condition)
     {
         for (const Millis end = now + limit; now < end;) {
@@ -97,7 +97,7 @@
         return condition();
     }
 
-    /// Whether every node has @p id in @p state.
+    /// Returns whether every node sees @p id in @p state.
     bool allSee(const std::string &id, MemberState state) const
     {
         for (const auto &[name, node] : nodes_) {
--- a/tests/support/limit_fleet.cpp
+++ b/tests/support/limit_fleet.cpp
@@ -17,12 +17,12 @@
 constexpr NameTable<LimitWay, 4> wayNames{ { "few_holders", "equal_shares", "one_owner", "fraction_of_asked" } };
 
 constexpr auto step = 50ms;
-// News are due at every second step, views are looked at a few times a second.
-constexpr unsigned stepsOfNews = 2;
+// Digests are sent at every second step; daemons read the list a few times per second.
+constexpr unsigned digestIntervalSteps = 2;
 constexpr auto answerTime = 300ms;
-constexpr auto longestNewsTime = 0.02;
-// Changes of the platform gather for so long at most.
-constexpr auto longestStoreTime = 0.6;
+constexpr auto maxDigestDelay = 0.02;
+// Longest delay in seconds until a change on the platform becomes visible.
+constexpr auto maxStoreDelay = 0.6;
 constexpr auto restartTime = 300ms;
 constexpr auto lease = 15s;
 constexpr double killedPart = 0.6;
@@ -49,7 +49,7 @@
     std::unique_ptr<UpstreamLimits> limits;
     std::unique_ptr<LimitPace> pace;
     DemandCounters asked;
-    /// When it reads the list again.
+    /// When the daemon reads the list again.
     SteadyTime readsAt{};
     SteadyTime downUntil{};
     SteadyTime cutUntil{};
@@ -129,8 +129,7 @@
     ++daemon.life;
     daemon.owners = std::make_unique<StableOwner>(daemon.name);
     daemon.limits = std::make_unique<UpstreamLimits>(LimitScope{ daemon.name, region }, *daemon.owners, metrics_);
-    daemon.limits->setWriteRecord(
-        [this](const StoredLimit &limit) { writes_.emplace(now_ + randomTime(longestStoreTime), limit); });
+    daemon.limits->setWriteRecord([this](const StoredLimit &limit) { writes_.emplace(now_ + randomTime(maxStoreDelay), limit); });
     daemon.pace = std::make_unique<LimitPace>(now_);
     daemon.asked = {};
     daemon.readsAt = now_;
@@ -187,7 +186,7 @@
         }
         daemon->owners->setMembers(members, now_);
         daemon->limits->setView(view, now_);
-        daemon->readsAt = now_ + randomTime(longestStoreTime);
+        daemon->readsAt = now_ + randomTime(maxStoreDelay);
     }
 }
 
@@ -215,7 +214,7 @@
 void LimitFleet::tell(Daemon &daemon)
 {
     daemon.limits->tick(now_);
-    if (step_ % stepsOfNews != 0) {
+    if (step_ % digestIntervalSteps != 0) {
         return;
     }
     gathered_.recordCounters(daemon.name, daemon.asked, now_);
@@ -226,13 +225,13 @@
     for (const OutgoingDigest &outgoing : daemon.limits->dueDigests(header, now_)) {
         for (const std::string &to : outgoing.to) {
             if (!cut && random_.fraction() >= scenario_.troubles.loss) {
-                messages_.emplace(now_ + randomTime(longestNewsTime), Message{ to, outgoing.digest });
+                messages_.emplace(now_ + randomTime(maxDigestDelay), Message{ to, outgoing.digest });
             }
         }
     }
 }
 
-/// Of each request that comes the upstream would be the first choice, so that all that it may get is sent.
+/// The upstream is the first choice for every request, so that each request that the limit allows is sent.
 void LimitFleet::serve(Daemon &daemon)
 {
     if (!happens(scenario_.requestsPerSecond)) {
--- a/tests/support/limit_fleet.h
+++ b/tests/support/limit_fleet.h
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The daemons of one region in virtual time, before an upstream that names a limit: killed in series, cut off from each other's
-/// news, with requests that arrive late. All that the upstream gets is counted.
+/// Simulates in virtual time the daemons of one region and an upstream that names a limit: daemons are killed in series or
+/// partitioned, digests are lost and requests arrive late. All requests that reach the upstream are counted.
 #pragma once
 
 #include "portpaddle/base/metrics.h"
@@ -18,39 +18,39 @@
 
 namespace Portpaddle {
 
-/// How the daemons of a region share what an upstream takes.
+/// How the daemons of a region share the limit of an upstream.
 enum class LimitWay {
-    /// As the product does; see UpstreamLimits.
+    /// The product's way; see UpstreamLimits.
     FewHolders,
-    /// Evenly among all daemons on the list. Who names what is known to all at once.
+    /// Even shares for all daemons on the list. All daemons learn of a named limit at once.
     EqualShares,
-    /// All of it at one daemon, the first by rank. Known to all at once.
+    /// The whole limit at one daemon, the first by rank. All daemons learn of the limit at once.
     OneOwner,
-    /// By chance, with a fraction that a gatherer works out from what is asked. Known to all at once.
+    /// Random admission with a fraction that an aggregator computes from the demand. All daemons learn of the limit at once.
     FractionOfAsked,
 };
 std::string_view nameOf(LimitWay way);
 
-/// What goes wrong, each a chance in a second.
+/// Injected failures; each value is a probability per second, except loss.
 struct LimitTroubles
 {
     double killAll = 0;
     double killSome = 0;
-    /// Of a single daemon: it hears no news and none hears it.
+    /// A single daemon is partitioned: digests neither reach nor leave it.
     double cut = 0;
-    /// Of a single daemon: what it sends arrives together later.
+    /// A single daemon is delayed: everything it sends arrives together later.
     double holdUp = 0;
-    /// Of the news.
+    /// Probability that a digest is lost.
     double loss = 0;
 };
 
-/// What is played.
+/// Parameters of a simulation.
 struct LimitScenario
 {
     unsigned daemons = 8;
-    /// Of callers, at each daemon.
+    /// Requests per second of callers at each daemon.
     double requestsPerSecond = 2;
-    /// What the upstream names.
+    /// Limit of the upstream in requests per second.
     double perSecond = 1;
     LimitTroubles troubles;
 };
@@ -62,14 +62,14 @@
     ~LimitFleet();
 
     void play(std::chrono::seconds length);
-    /// From now on the upstream names @p perSecond in its answers; nothing where it is zero.
+    /// Lets the upstream name @p perSecond in its answers from now on; with zero it names no limit.
     void name(double perSecond);
-    /// Requests in the worst four seconds that begin at least @p after the limit was named, as a part of what is tolerated: one
-    /// and a half times what the limit allows, and five requests.
+    /// Returns the most requests in any four seconds that begin at least @p after the limit was named, as a fraction of the
+    /// tolerated number: one and a half times what the limit allows, plus five requests.
     double worstPart(std::chrono::seconds after = std::chrono::seconds(5)) const;
-    /// Requests a second since then, as a part of the limit.
+    /// Returns the requests per second from @p after the naming on, as a fraction of the limit.
     double usedPart(std::chrono::seconds after = std::chrono::seconds(5)) const;
-    /// Requests within the last @p time.
+    /// Returns the number of requests that arrived within the last @p time.
     std::size_t arrivedLately(std::chrono::seconds time) const;
 
 private:
@@ -95,7 +95,7 @@
     void deliver();
     void tell(Daemon &daemon);
     void serve(Daemon &daemon);
-    /// Where the ways beside the product's learn of limits.
+    /// Returns whether the ways other than the product's know the limit.
     bool isKnown() const;
     bool maySend(Daemon &daemon);
     void send(Daemon &daemon);
@@ -111,7 +111,7 @@
     std::multimap<SteadyTime, Message> messages_;
     std::multimap<SteadyTime, Answer> answers_;
     std::map<std::string, SteadyTime> leases_;
-    /// On the platform, and from when on daemons see it.
+    /// Limits stored on the platform; writes_ holds those that become visible later.
     StoredLimits stored_;
     std::multimap<SteadyTime, StoredLimit> writes_;
     RegionLimit gathered_;
--- a/tests/support/limit_scenario.cpp
+++ b/tests/support/limit_scenario.cpp
@@ -23,13 +23,13 @@
 
 constexpr unsigned regions = 3;
 constexpr double usualPart = 0.55;
-constexpr double hotTimes = 7.5;
+constexpr double hotFactor = 7.5;
 constexpr int noRegion = -1;
 constexpr NameTable<LimitEvent, 10> eventNames{ { "calm", "hot", "shift", "hot, region cut", "herd killed", "lowered",
                                                   "hot, daemons cut", "hot and moved", "killed in series", "gatherers killed" } };
-constexpr auto betweenKills = 1'500ms;
-constexpr auto dead = 1'400ms;
-// What the users' sheet bears.
+constexpr auto killInterval = 1'500ms;
+constexpr auto downTime = 1'400ms;
+// Tolerance that the users' requirements state.
 constexpr double overshoot = 0.1;
 constexpr double slack = 140'000;
 constexpr auto window = 8s;
@@ -39,7 +39,7 @@
     return fmt::format("region-{}", region);
 }
 
-/// Tokens of a request: a fifth are plain calls, most short questions, the rest long prompts of very different lengths.
+/// Draws the tokens of a request: a fifth are plain calls, most short questions, the rest long prompts of varied lengths.
 double drawUnits(RandomSource &random)
 {
     const double kind = random.fraction();
@@ -52,7 +52,7 @@
 
 constexpr double meanUnits = 0.22 * 200 + 0.63 * 2'500 + 0.15 * 13'000;
 
-/// A bucket that knows all at once.
+/// A central token bucket that sees all requests at once.
 struct CentralBucket
 {
     double level = 0;
@@ -102,10 +102,10 @@
     double sum_ = 0;
 };
 
-class GatheredLimits : public LimitWay
+class AggregatedLimits : public LimitWay
 {
 public:
-    GatheredLimits(unsigned daemons, const OrganisationLimit &limit, std::uint64_t seed) : random_(seed)
+    AggregatedLimits(unsigned daemons, const OrganisationLimit &limit, std::uint64_t seed) : random_(seed)
     {
         alive_.resize(daemons, true);
         setLimit(limit, Time{ 1s });
@@ -124,22 +124,22 @@
     {
         organisation_.name = "shop";
         organisation_.limit = limit;
-        book_ = OrganisationTable{};
-        book_.add(organisation_, {});
+        organisationTable_ = OrganisationTable{};
+        organisationTable_.add(organisation_, {});
         for (auto &daemon : daemons_) {
-            daemon->setOrganisations(book_, now);
+            daemon->setOrganisations(organisationTable_, now);
         }
     }
 
     void restart(std::size_t daemon, Time now) override
     {
-        const auto gathers = [this, daemon](std::uint32_t, SteadyTime) { return gathererOf(daemon % regions) == daemon; };
+        const auto isAggregator = [this, daemon](std::uint32_t, SteadyTime) { return aggregatorOf(daemon % regions) == daemon; };
         const auto isSilent = [this](const std::string &name, SteadyTime) { return silent_.contains(name); };
         daemons_[daemon]
-            = std::make_unique<OrganisationLimits>(std::to_string(daemon), regionName(daemon % regions), gathers, isSilent);
+            = std::make_unique<OrganisationLimits>(std::to_string(daemon), regionName(daemon % regions), isAggregator, isSilent);
         daemons_[daemon]->setTolerance({ overshoot, slack, window });
         daemons_[daemon]->setFleet({ regionName(0), regionName(1), regionName(2) }, static_cast<unsigned>(alive_.size()));
-        daemons_[daemon]->setOrganisations(book_, now);
+        daemons_[daemon]->setOrganisations(organisationTable_, now);
     }
 
     void tick(const std::vector<ScenarioDaemon> &daemons, int regionCut, Time now) override
@@ -154,12 +154,12 @@
         deliver(now, regionCut);
         const auto all = [](std::uint32_t) { return true; };
         for (std::size_t daemon = 0; daemon < daemons.size(); ++daemon) {
-            if (alive_[daemon] && gathererOf(daemon % regions) != daemon) {
+            if (alive_[daemon] && aggregatorOf(daemon % regions) != daemon) {
                 reports_.push_back({ daemon, daemons_[daemon]->counts(all, now) });
             }
         }
         for (unsigned region = 0; region < regions; ++region) {
-            OrganisationLimits &aggregator = *daemons_[gathererOf(region)];
+            OrganisationLimits &aggregator = *daemons_[aggregatorOf(region)];
             grants_.push_back({ region, aggregator.grants(all, now) });
             if (ticks_ % 4 == region) {
                 demands_.push_back({ region, aggregator.demands(all, now) });
@@ -176,7 +176,7 @@
         std::vector<Entry> entries;
     };
 
-    std::size_t gathererOf(std::size_t region) const
+    std::size_t aggregatorOf(std::size_t region) const
     {
         for (std::size_t daemon = region; daemon < alive_.size(); daemon += regions) {
             if (alive_[daemon]) {
@@ -186,15 +186,15 @@
         return region;
     }
 
-    /// What was sent a tick before.
+    /// Delivers the messages sent in the previous tick.
     void deliver(Time now, int regionCut)
     {
         for (const auto &report : reports_) {
-            daemons_[gathererOf(report.from % regions)]->takeCounts(std::to_string(report.from), report.entries, now);
+            daemons_[aggregatorOf(report.from % regions)]->takeCounts(std::to_string(report.from), report.entries, now);
         }
         for (const auto &grant : grants_) {
             for (std::size_t daemon = grant.from; daemon < daemons_.size(); daemon += regions) {
-                if (alive_[daemon] && daemon != gathererOf(grant.from)) {
+                if (alive_[daemon] && daemon != aggregatorOf(grant.from)) {
                     daemons_[daemon]->takeGrants(grant.entries, now);
                 }
             }
@@ -203,8 +203,8 @@
             for (unsigned region = 0; region < regions; ++region) {
                 const bool cut = static_cast<int>(region) == regionCut || static_cast<int>(demand.from) == regionCut;
                 if (region != demand.from && !cut) {
-                    daemons_[gathererOf(region)]->takeDemands(regionName(static_cast<unsigned>(demand.from)), demand.entries,
-                                                              now);
+                    daemons_[aggregatorOf(region)]->takeDemands(regionName(static_cast<unsigned>(demand.from)), demand.entries,
+                                                                now);
                 }
             }
         }
@@ -215,7 +215,7 @@
 
     SeededRandom random_;
     Organisation organisation_;
-    OrganisationTable book_;
+    OrganisationTable organisationTable_;
     std::vector<std::unique_ptr<OrganisationLimits>> daemons_;
     std::vector<bool> alive_;
     std::set<std::string> silent_;
@@ -294,8 +294,8 @@
     unsigned ticks_ = 0;
 };
 
-/// How often each region is asked, as a part of an even third of the usual.
-double askedTimes(const LimitPlay &scenario, unsigned region, std::chrono::milliseconds at)
+/// Returns the demand on @p region as a multiple of an even third of the usual demand.
+double demandFactor(const LimitPlay &scenario, unsigned region, std::chrono::milliseconds at)
 {
     const bool hot = scenario.event == LimitEvent::Hot || scenario.event == LimitEvent::HotAndRegionCut
         || scenario.event == LimitEvent::HotAndDaemonsCut || scenario.event == LimitEvent::KilledInSeries
@@ -304,12 +304,12 @@
         return 1;
     }
     if (hot) {
-        return hotTimes;
+        return hotFactor;
     }
     if (scenario.event == LimitEvent::HotAndMoved) {
-        // All callers are in one region, in the next one after each two seconds.
+        // All callers are in one region and move to the next one every two seconds.
         constexpr auto stay = 2s;
-        return region == static_cast<unsigned>(at / stay) % regions ? hotTimes : 0;
+        return region == static_cast<unsigned>(at / stay) % regions ? hotFactor : 0;
     }
     if (scenario.event == LimitEvent::Shift) {
         return region == 0 ? 0.5 : region == 1 ? 1.5 : 1;
@@ -317,27 +317,27 @@
     return 1;
 }
 
-/// What has befallen the daemons by @p at.
-void strike(const LimitPlay &scenario, std::vector<ScenarioDaemon> &daemons, LimitWay &way, std::chrono::milliseconds at,
-            Time now)
+/// Applies the failures that are due at @p at to the daemons.
+void applyFailures(const LimitPlay &scenario, std::vector<ScenarioDaemon> &daemons, LimitWay &way, std::chrono::milliseconds at,
+                   Time now)
 {
     for (std::size_t daemon = 0; daemon < daemons.size(); ++daemon) {
-        const bool struck = daemon % 2 == 1;
-        if (scenario.event == LimitEvent::HerdKilled && struck && at == 10s) {
+        const bool affected = daemon % 2 == 1;
+        if (scenario.event == LimitEvent::HerdKilled && affected && at == 10s) {
             daemons[daemon].alive = false;
         }
-        if (scenario.event == LimitEvent::HerdKilled && struck && at == 12s) {
+        if (scenario.event == LimitEvent::HerdKilled && affected && at == 12s) {
             daemons[daemon].alive = true;
             way.restart(daemon, now);
         }
-        if (scenario.event == LimitEvent::KilledInSeries && at >= 10s && at < 17s && at % betweenKills == 0s) {
+        if (scenario.event == LimitEvent::KilledInSeries && at >= 10s && at < 17s && at % killInterval == 0s) {
             way.restart(daemon, now);
         }
         if (scenario.event == LimitEvent::GatherersKilled) {
-            // The first daemons of all regions, then those that took over from them.
-            const auto killedAt = 10s + (daemon / regions) * betweenKills;
-            daemons[daemon].alive = killedAt >= 16s || at < killedAt || at >= killedAt + dead;
-            if (killedAt < 16s && at == killedAt + dead) {
+            // Kills the first daemons of all regions, then their successors.
+            const auto killedAt = 10s + (daemon / regions) * killInterval;
+            daemons[daemon].alive = killedAt >= 16s || at < killedAt || at >= killedAt + downTime;
+            if (killedAt < 16s && at == killedAt + downTime) {
                 way.restart(daemon, now);
             }
         }
@@ -374,7 +374,7 @@
     for (std::chrono::milliseconds at{ 0 }; at < 24s; at += 10ms) {
         const Time now = start + at;
         if (at % 100ms == 0ms) {
-            strike(scenario, daemons, way, at, now);
+            applyFailures(scenario, daemons, way, at, now);
             const bool cut = scenario.event == LimitEvent::HotAndRegionCut && at >= 9s && at < 15s;
             way.tick(daemons, cut ? 1 : noRegion, now);
             admitted.step();
@@ -383,9 +383,10 @@
             isLow = true;
             way.setLimit(lowered, now);
         }
-        const OrganisationLimit &inForce = isLow ? lowered : limit;
+        const OrganisationLimit &currentLimit = isLow ? lowered : limit;
         for (unsigned region = 0; region < regions; ++region) {
-            const double perStep = askedTimes(scenario, region, at) * usualPart * scenario.perSecond / regions / meanUnits / 100;
+            const double perStep
+                = demandFactor(scenario, region, at) * usualPart * scenario.perSecond / regions / meanUnits / 100;
             auto count = static_cast<unsigned>(perStep);
             count += random.fraction() < perStep - count ? 1 : 0;
             for (; count > 0; --count) {
@@ -394,19 +395,19 @@
                     daemon = random.below((scenario.daemons - region + regions - 1) / regions) * regions + region;
                 } while (!daemons[daemon].alive);
                 const double units = drawUnits(random);
-                // The first seconds only fill what daemons know of each other.
+                // The first seconds are a warm-up in which daemons learn each other's demand.
                 const bool counts = at >= 3s;
-                centralAdmitted += central.take(inForce, units, now) && counts ? units : 0;
+                centralAdmitted += central.take(currentLimit, units, now) && counts ? units : 0;
                 if (way.admit(daemon, units, now)) {
                     admitted.add(units);
                     allAdmitted += counts ? units : 0;
                 }
             }
         }
-        // A lower limit counts from one window after it is known everywhere.
+        // A lowered limit is checked from one window after all daemons know it.
         const bool settled = scenario.event != LimitEvent::Lowered || at < 10s || at >= 18s;
-        const double borne = (8 * inForce.perSecond + inForce.burst) * (1 + overshoot) + slack;
-        outcome.worstWindow = settled ? std::max(outcome.worstWindow, admitted.sum() / borne) : outcome.worstWindow;
+        const double tolerated = (8 * currentLimit.perSecond + currentLimit.burst) * (1 + overshoot) + slack;
+        outcome.worstWindow = settled ? std::max(outcome.worstWindow, admitted.sum() / tolerated) : outcome.worstWindow;
     }
     outcome.refusedBelow = std::max(0.0, 1 - allAdmitted / centralAdmitted);
     return outcome;
@@ -414,7 +415,7 @@
 
 std::unique_ptr<LimitWay> gatheredLimits(unsigned daemons, const OrganisationLimit &limit, std::uint64_t seed)
 {
-    return std::make_unique<GatheredLimits>(daemons, limit, seed);
+    return std::make_unique<AggregatedLimits>(daemons, limit, seed);
 }
 
 std::unique_ptr<LimitWay> sharesByDemand(unsigned daemons, const OrganisationLimit &limit)
--- a/tests/support/limit_scenario.h
+++ b/tests/support/limit_scenario.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Plays what is asked of many daemons for one organisation, in virtual time, against a way to keep its limit.
+/// Simulates in virtual time the demand of one organisation on many daemons, under a way to enforce its limit.
 #pragma once
 
 #include "portpaddle/interfaces/clock.h"
@@ -15,7 +15,7 @@
 
 namespace Portpaddle {
 
-/// What happens from second 10 on.
+/// Event that begins at second 10.
 enum class LimitEvent {
     Calm,
     Hot,
@@ -44,13 +44,13 @@
 struct ScenarioDaemon
 {
     unsigned region = 0;
-    /// Restarted or not running.
+    /// False while the daemon is not running.
     bool alive = true;
-    /// Nobody hears it and it hears nobody.
+    /// Whether the daemon exchanges digests with no other daemon.
     bool partitioned = false;
 };
 
-/// A way to keep a limit over all daemons, with the delays of its news.
+/// A way to enforce a limit over all daemons, with the delays of its digests.
 class LimitWay
 {
 public:
@@ -58,25 +58,25 @@
 
     virtual ~LimitWay() = default;
     virtual bool admit(std::size_t daemon, double units, Time now) = 0;
-    /// Called each 100 ms; daemons of other regions are heard unless @p regionCut is cut off.
+    /// Called every 100 ms; digests pass between regions, except to and from the partitioned region @p regionCut.
     virtual void tick(const std::vector<ScenarioDaemon> &daemons, int regionCut, Time now) = 0;
     virtual void setLimit(const OrganisationLimit &limit, Time now) = 0;
-    /// The process starts anew and knows nothing.
+    /// Restarts the process of @p daemon, which loses all its state.
     virtual void restart(std::size_t daemon, Time now) = 0;
 };
 
-/// What came of one play.
+/// Result of one simulation.
 struct LimitOutcome
 {
-    /// The most admitted in any window of 8 s, as a part of what the users' sheet bears: a tenth and 140,000 units over the
-    /// limit.
+    /// The most units admitted in any window of 8 s, as a fraction of what the users' requirements tolerate: a tenth and 140,000
+    /// units over the limit.
     double worstWindow = 0;
-    /// Of the units that one bucket which knows all would have admitted, the part that was not.
+    /// Fraction of the units admitted by one central bucket that were not admitted here.
     double refusedBelow = 0;
 };
 
-/// Three regions, @p daemons over all, a limit of @p perSecond tokens; requests as in a mix of short questions, long prompts and
-/// plain calls.
+/// Parameters of a simulation: three regions, @p daemons in total, a limit of @p perSecond tokens; requests are a mix of short
+/// questions, long prompts and plain calls.
 struct LimitPlay
 {
     LimitEvent event = LimitEvent::Calm;
@@ -87,9 +87,9 @@
 
 LimitOutcome play(const LimitPlay &scenario, LimitWay &way);
 
-/// Gatherers of each region let through what fits; see OrganisationLimits.
+/// Aggregators of each region admit what the limit allows; see OrganisationLimits.
 std::unique_ptr<LimitWay> gatheredLimits(unsigned daemons, const OrganisationLimit &limit, std::uint64_t seed);
-/// Each daemon spends a share by what is asked of it and of all others; see ShareMover.
+/// Each daemon spends a share according to its own demand and that of all others; see ShareMover.
 std::unique_ptr<LimitWay> sharesByDemand(unsigned daemons, const OrganisationLimit &limit);
 
 } // namespace Portpaddle
--- a/tests/support/manual_clock.h
+++ b/tests/support/manual_clock.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A clock that tests move by hand.
+/// A clock that only tests advance.
 #pragma once
 
 #include "portpaddle/interfaces/clock.h"
@@ -29,7 +29,7 @@
         now_ += by.count();
     }
 
-    /// Moves the calendar without moving time.
+    /// Moves the wall clock without advancing the monotonic clock.
     void jumpWall(Millis by)
     {
         wallJump_ += by.count();
--- a/tests/support/moving_engines.h
+++ b/tests/support/moving_engines.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A daemon with two engines that move the memory of runs to each other.
+/// A daemon with two engines that transfer the memory of runs to each other.
 #pragma once
 
 #include "support/eventually.h"
@@ -16,7 +16,7 @@
 
 namespace Portpaddle {
 
-/// A stream gives three events and ends when its engine is ordered to move it; continued, it goes on to the sixth.
+/// Each stream sends three events and ends when its engine is ordered to move it; resumed, it continues up to the sixth.
 class MovingEngines : public GatewaySite
 {
 public:
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Sends a stream on @p caller and gives the engine that runs it.
+    /// Requests a stream through @p caller and returns the index of the engine that runs it.
     std::size_t beginStream(RawCaller &caller, const std::string &headers = {})
     {
         caller.send(request("/stream/a", "id1", headers));
@@ -39,7 +39,7 @@
         return engines[0]->seen().empty() ? 1 : 0;
     }
 
-    /// The first events reach the gateway soon after the request was seen; a move is ordered at a tick after that.
+    /// Ticks the gateway until a move is ordered: the first events arrive only some time after the engine received the request.
     bool tickUntilOrdered()
     {
         return eventually([this] {
@@ -53,14 +53,14 @@
     std::string moveAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh7";
     std::string continuedFrom;
     std::string continuedAt;
-    /// The engine that holds the copy does not run what goes on from it.
+    /// Whether the engine that holds the copy refuses to resume the run.
     bool refusing = false;
     std::atomic<bool> ordered{ false };
-    /// Streams end without an order.
+    /// Whether streams end without an order.
     std::atomic<bool> released{ false };
     /// Called when an engine is ordered to move a run, before it answers.
     std::function<void()> atOrder = [] {};
-    /// What other requests than orders are answered with; the usual where it is empty.
+    /// Answer to requests other than orders; empty for the default.
     std::string answerNext;
 
 private:
--- a/tests/support/notice_fleet.cpp
+++ b/tests/support/notice_fleet.cpp
@@ -21,8 +21,8 @@
 constexpr auto refusalTime = 1ms;
 constexpr auto runTime = 150ms;
 constexpr auto restartTime = 300ms;
-constexpr auto patience = 8s;
-constexpr auto usualReturn = 500ms;
+constexpr auto callerTimeout = 8s;
+constexpr auto defaultRetryDelay = 500ms;
 constexpr auto drainBound = 3s;
 constexpr auto noticeTime = 500ms;
 constexpr unsigned attempts = 2;
@@ -30,10 +30,10 @@
 constexpr double longestHoldUp = 2;
 constexpr double longestMove = 6;
 constexpr double longestLapse = 3;
-// Repeats for each request, and at once at most.
-constexpr double repeatRatio = 0.2;
-constexpr double maxRepeats = 10;
-constexpr double returnSpread = 0.5;
+// Retries earned per request, and the most that are saved.
+constexpr double retryRatio = 0.2;
+constexpr double maxRetries = 10;
+constexpr double retryDelaySpread = 0.5;
 
 } // namespace
 
@@ -47,13 +47,13 @@
     std::size_t index = 0;
     unsigned life = 0;
     std::unique_ptr<UpstreamNotices> notices;
-    double repeats = 0;
+    double retries = 0;
     SteadyTime downUntil{};
     SteadyTime heldUpUntil{};
-    /// By upstream: when an answer that says it leaves was passed on.
+    /// By upstream: when its first answer that announced leaving arrived.
     std::map<std::size_t, SteadyTime> toldLeaving;
     std::map<std::size_t, std::vector<AskedTime>> askedTimes;
-    /// Upstreams that have turned away the last request, and how many are with them now.
+    /// Upstreams that refused the last request, and the number of requests in progress by upstream.
     std::set<std::size_t> trying;
     std::map<std::size_t, unsigned> underWay;
 };
@@ -89,7 +89,7 @@
         const double expected = scenario_.requestsPerSecond * std::chrono::duration<double>(step).count();
         for (double due = expected; random_.fraction() < due; due -= 1) {
             Request request;
-            request.givenUpAt = now_ + patience;
+            request.givenUpAt = now_ + callerTimeout;
             ++callers_;
             ask(std::move(request));
         }
@@ -181,7 +181,7 @@
         }
         if (happens(troubles.holdUp)) {
             daemon->heldUpUntil = std::max(daemon->heldUpUntil, now_ + randomTime(longestHoldUp));
-            // A cut excuses the daemon from what it was asked before.
+            // A delayed daemon is not checked against retry times named before the delay.
             daemon->askedTimes.clear();
         }
     }
@@ -196,7 +196,7 @@
     }
 }
 
-/// The store's entries say nothing of who leaves.
+/// The entries of the store do not tell which upstreams leave.
 void NoticeFleet::publish(Daemon &daemon)
 {
     FleetView view;
@@ -216,7 +216,7 @@
     request.sends = 0;
     request.tried.clear();
     Daemon &daemon = *daemons_[request.daemon];
-    daemon.repeats = std::min(maxRepeats, daemon.repeats + repeatRatio);
+    daemon.retries = std::min(maxRetries, daemon.retries + retryRatio);
     if (scenario_.troubles.lapse > 0) {
         publish(daemon);
     }
@@ -310,7 +310,7 @@
 {
     Daemon &daemon = *daemons_[request.daemon];
     if (daemon.life != life) {
-        // The connection ended with the daemon; its caller comes back.
+        // The connection ended with the daemon; the caller tries again.
         refuse(std::move(request));
         return;
     }
@@ -332,35 +332,35 @@
         ++ended_;
         return;
     }
-    if (request.sends < attempts && daemon.repeats >= 1) {
-        daemon.repeats -= 1;
+    if (request.sends < attempts && daemon.retries >= 1) {
+        daemon.retries -= 1;
         forward(std::move(request));
         return;
     }
     refuse(std::move(request));
 }
 
-/// Its caller comes back in the time that it is told, of which it honours a third of what is left at most.
+/// The caller tries again after the named retry time, but waits at most a third of its remaining time.
 void NoticeFleet::refuse(Request request)
 {
     const SteadyTime::duration left = request.givenUpAt - now_;
-    SteadyTime::duration back = usualReturn;
+    SteadyTime::duration retryDelay = defaultRetryDelay;
     if (way_ != NoticeWay::Ignored) {
         std::vector<const std::string *> ids;
         for (const Upstream &upstream : upstreams_) {
             ids.push_back(&upstream.id);
         }
-        const auto soonest = daemons_[request.daemon]->notices->earliestBackoffEnd(ids, now_);
-        if (soonest) {
-            back = *soonest + randomTime(returnSpread * std::chrono::duration<double>(*soonest).count());
+        const auto earliestEnd = daemons_[request.daemon]->notices->earliestBackoffEnd(ids, now_);
+        if (earliestEnd) {
+            retryDelay = *earliestEnd + randomTime(retryDelaySpread * std::chrono::duration<double>(*earliestEnd).count());
         }
     }
-    back = std::min(back, left / 3);
-    if (left < usualReturn) {
+    retryDelay = std::min(retryDelay, left / 3);
+    if (left < defaultRetryDelay) {
         ++ended_;
         return;
     }
-    at(now_ + back, [this, request = std::move(request)] { ask(request); });
+    at(now_ + retryDelay, [this, request = std::move(request)] { ask(request); });
 }
 
 } // namespace Portpaddle
--- a/tests/support/notice_fleet.h
+++ b/tests/support/notice_fleet.h
@@ -1,8 +1,9 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// The daemons of one region in virtual time, before upstreams that say they leave or turn requests away and ask for time: killed
-/// in series, cut off, left by their callers, with entries that lapse and come back. All that upstreams get is counted by daemon.
+/// Simulates in virtual time the daemons of one region and upstreams that announce leaving or refuse requests with a retry time:
+/// daemons are killed in series, partitioned or left by their callers, and upstream entries expire and return. All requests that
+/// reach upstreams are counted by daemon.
 #pragma once
 
 #include "portpaddle/base/metrics.h"
@@ -18,42 +19,42 @@
 
 namespace Portpaddle {
 
-/// What daemons do with what upstreams say of themselves.
+/// How daemons treat the notices of upstreams.
 enum class NoticeWay {
-    /// As the product does: each daemon keeps to what it was told itself; see UpstreamNotices.
+    /// The product's way: each daemon follows the notices that it received itself; see UpstreamNotices.
     Own,
-    /// Nothing.
+    /// Daemons ignore all notices.
     Ignored,
-    /// As the product, and who leaves is known to all daemons at once.
+    /// As Own, and all daemons learn at once which upstreams leave.
     LeavingTold,
-    /// As the product, and after the time one request at a time until one is not turned away.
+    /// As Own, and after the retry time one request at a time until one is not refused.
     OneAfterTime,
 };
 std::string_view nameOf(NoticeWay way);
 
-/// What goes wrong, each a chance in a second.
+/// Injected failures; each value is a probability per second.
 struct NoticeTroubles
 {
     double killAll = 0;
     double killSome = 0;
-    /// Of a single daemon: what it sends and is sent arrives together later.
+    /// A single daemon is delayed: everything sent by or to it arrives together later.
     double holdUp = 0;
-    /// All callers turn to some of the daemons for a while.
+    /// All callers use only some of the daemons for a while.
     double moveCallers = 0;
-    /// Of a single upstream: its entry lapses at all daemons and comes back.
+    /// The entry of a single upstream expires at all daemons and returns.
     double lapse = 0;
 };
 
-/// What is played.
+/// Parameters of a simulation.
 struct NoticeScenario
 {
     unsigned daemons = 8;
     unsigned upstreams = 4;
-    /// Of callers, in all.
+    /// Requests per second of all callers together.
     double requestsPerSecond = 60;
-    /// Part of what comes that upstreams turn away while they are short.
+    /// Fraction of the requests that upstreams refuse while they are short of capacity.
     double turnedAway = 0.9;
-    /// What they ask for then.
+    /// Retry time that such a refusal names.
     std::chrono::milliseconds askedTime{ 3'000 };
     NoticeTroubles troubles{};
 };
@@ -65,21 +66,21 @@
     ~NoticeFleet();
 
     void play(std::chrono::seconds length);
-    /// The first @p count upstreams are short from now on, or not any more.
+    /// Sets whether the first @p count upstreams are short of capacity from now on.
     void setShort(unsigned count, bool isShort);
-    /// The first @p count upstreams leave; each is gone after @p stay.
+    /// Lets the first @p count upstreams announce leaving; they are gone after @p stay.
     void leave(unsigned count, std::chrono::seconds stay);
-    /// Requests that reached an upstream which had told their daemon, three seconds before their callers sent them, that it
-    /// leaves.
+    /// Returns the number of requests that reached an upstream although it had announced leaving to their daemon more than three
+    /// seconds before their callers sent them.
     std::size_t afterLeaving() const;
-    /// The most requests of one daemon at an upstream from half a second after it had asked that daemon for time to the end of
-    /// it. Times during which the daemon was cut off do not count.
+    /// Returns the most requests of one daemon at an upstream from half a second after it had named a retry time to that daemon
+    /// until the end of that time. Times during which the daemon was delayed do not count.
     std::size_t mostWithinTime() const;
-    /// Part of the callers that were served before they gave up.
+    /// Returns the fraction of the callers that were served before they gave up.
     double servedPart() const;
-    /// All that reached an upstream for each request that was served.
+    /// Returns the requests that reached an upstream per served request.
     double arrivalsPerServed() const;
-    /// Requests that met an upstream that was gone.
+    /// Returns the number of attempts at an upstream that was gone.
     std::size_t metGone() const;
 
 private:
@@ -93,7 +94,7 @@
         unsigned sends = 0;
         std::vector<std::size_t> tried;
     };
-    /// An answer that asked for time.
+    /// An answer that named a retry time.
     struct AskedTime
     {
         SteadyTime from{};
@@ -107,7 +108,7 @@
     void start(Daemon &daemon);
     void strike();
     void publish(Daemon &daemon);
-    /// A caller begins, or comes back.
+    /// Starts a caller's request or its next try.
     void ask(Request request);
     void forward(Request request);
     bool maySend(const Daemon &daemon, std::size_t upstream) const;
@@ -125,7 +126,7 @@
     std::multimap<SteadyTime, std::function<void()>> events_;
     std::vector<std::unique_ptr<Daemon>> daemons_;
     std::vector<Upstream> upstreams_;
-    /// The daemons that callers use; all where it is empty.
+    /// The daemons that callers use; all of them if empty.
     std::vector<std::size_t> frequented_;
     std::size_t callers_ = 0;
     std::size_t served_ = 0;
--- a/tests/support/plain_orders.h
+++ b/tests/support/plain_orders.h
@@ -1,14 +1,14 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Orders to engines in words of the tests' own.
+/// Orders to engines in a format that only the tests use.
 #pragma once
 
 #include "portpaddle/gateway/upstream_orders.h"
 
 namespace Portpaddle {
 
-/// An engine answers a move with the name of the memory alone.
+/// Expects an answer to a move that consists of the name of the memory alone.
 class PlainOrders : public UpstreamOrders
 {
 public:
--- a/tests/support/recording_sink.h
+++ b/tests/support/recording_sink.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Sinks and targets that tests look into.
+/// Recording sinks and scripted attempt targets for tests.
 #pragma once
 
 #include "portpaddle/interfaces/attempt_target.h"
@@ -13,7 +13,7 @@
 
 namespace Portpaddle {
 
-/// Keeps everything it receives; goes away on demand.
+/// Records everything it receives and simulates a receiver that disconnects on demand.
 class RecordingSink : public AnswerSink
 {
 public:
@@ -77,7 +77,7 @@
     bool gone_ = false;
 };
 
-/// An upstream client whose answers are a function in the test.
+/// An upstream client whose answers come from a function of the test.
 class ScriptedUpstreams : public UpstreamClient
 {
 public:
@@ -93,7 +93,7 @@
     std::atomic<int> attempts{ 0 };
 };
 
-/// A forwarder whose answers are a function in the test.
+/// A forwarder whose answers come from a function of the test.
 class ScriptedPeers : public PeerForwarder
 {
 public:
@@ -110,7 +110,7 @@
     std::atomic<int> forwards{ 0 };
 };
 
-/// One event of a token stream as engines send it.
+/// Returns one event of a token stream as engines send it.
 inline std::string tokenEvent(const std::string &text)
 {
     return "data: {\"choices\":[{\"delta\":{\"content\":\"" + text + "\"}}]}\n\n";
--- a/tests/support/retry_fleet.cpp
+++ b/tests/support/retry_fleet.cpp
@@ -13,24 +13,25 @@
 
 constexpr double ratio = 0.2;
 constexpr std::chrono::milliseconds window{ 10'000 };
-// Before a daemon on the list has a part of the fixed number: where what it spent before its start may count, and where not.
+// Time on the list before a daemon gets a part of the fixed number: where retries spent before its start may count, and where
+// they do not.
 constexpr std::chrono::milliseconds settlingForWindow = window + 1s;
 constexpr std::chrono::milliseconds settling{ 3'000 };
-// From a repeat's arrival until its sender hears of its upstream.
+// From the arrival of a retry until its sender receives the answer of the upstream.
 constexpr auto answerTime = 300ms;
 constexpr auto step = 50ms;
-// Between two looks at the list of daemons.
+// Interval at which daemons read the list.
 constexpr auto listInterval = 200ms;
 constexpr double swingSeconds = 5;
-// Requests a second of which at most one comes in a step.
+// Highest rate in requests per second at which at most one request comes in a step.
 constexpr double maxInStep = 10;
-// Of a registration at the store, after its daemon has gone.
+// Time for which a registration stays at the store after its daemon is gone.
 constexpr auto lease = 5s;
 constexpr std::chrono::seconds longestCut{ 40 };
 constexpr std::chrono::seconds longestHoldUp{ 8 };
 constexpr double killedPart = 0.6;
-// Where all daemons known divide the budget, these at least.
-constexpr std::size_t fewestDaemons = 8;
+// Least divisor where all known daemons divide the budget.
+constexpr std::size_t minDaemons = 8;
 
 std::size_t countFrom(const std::vector<SteadyTime> &times, SteadyTime from)
 {
@@ -115,7 +116,7 @@
         rate *= daemon.dataCentre < dataCentres / 2 ? 0 : 2;
     }
     if (events.wander && passed >= *events.wander) {
-        // All callers are at a tenth of the daemons, at another one in each second.
+        // All callers use one tenth of the daemons, and another tenth every second.
         constexpr std::size_t groups = 10;
         rate *= daemon.index % groups == static_cast<std::size_t>(passed) % groups ? groups : 0;
     }
@@ -160,7 +161,7 @@
     start(daemon);
 }
 
-/// What was sent before the process ended arrives all the same.
+/// Retries sent before the process ended still arrive.
 void RetryFleet::start(Daemon &daemon)
 {
     daemon.underWay.clear();
@@ -208,13 +209,13 @@
         }
     }
     for (Daemon &daemon : daemons_) {
-        const bool reaches = now_ >= daemon.cutUntil;
-        if (reaches) {
+        const bool reachesStore = now_ >= daemon.cutUntil;
+        if (reachesStore) {
             daemon.list = listed.at(daemon.dataCentre);
             daemon.mostKnown = std::max(daemon.mostKnown, known);
         }
         daemon.members->setListed(daemon.list, now_);
-        if (reaches) {
+        if (reachesStore) {
             daemon.members->confirmList(now_);
         }
     }
@@ -223,7 +224,7 @@
 double RetryFleet::fixedPartOf(const Daemon &daemon) const
 {
     if (way_ == RetryWay::EvenFromStart) {
-        return scenario_.fixedNumber / static_cast<double>(std::max(fewestDaemons, daemon.mostKnown + 1));
+        return scenario_.fixedNumber / static_cast<double>(std::max(minDaemons, daemon.mostKnown + 1));
     }
     return daemon.members->maySpend(now_) ? scenario_.fixedNumber / dataCentres / daemon.members->count(now_) : 0;
 }
@@ -235,7 +236,7 @@
         daemon.underWay.pop_front();
     }
     daemon.account->setPart({ ratio, fixedPartOf(daemon), daemon.rounding, window }, now_);
-    // Several a step where callers are many.
+    // Several requests come in one step at high rates.
     for (double rate = rateOf(daemon); rate > 0; rate -= maxInStep) {
         if (happens(std::min(rate, maxInStep))) {
             take(daemon);
@@ -247,8 +248,8 @@
 {
     requests_.push_back(now_);
     daemon.account->recordFirstAttempt(now_);
-    const bool troubled = daemon.fails && now_ >= beganAt_ + scenario_.calm;
-    for (unsigned sent = 1; troubled && sent < scenario_.attempts; ++sent) {
+    const bool failing = daemon.fails && now_ >= beganAt_ + scenario_.calm;
+    for (unsigned sent = 1; failing && sent < scenario_.attempts; ++sent) {
         if (random_.fraction() >= scenario_.failingAttempts) {
             return;
         }
--- a/tests/support/retry_fleet.h
+++ b/tests/support/retry_fleet.h
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A fleet in virtual time whose daemons spend one retry budget: killed in series, cut off from the store, joined by others, left
-/// by their callers, with repeats that arrive late. Arrivals are counted as the budget is.
+/// Simulates in virtual time a fleet whose daemons spend one retry budget: daemons are killed in series, cut off from the store,
+/// joined by others or left by their callers, and retries arrive late. Arrivals are counted over the window of the budget.
 #pragma once
 
 #include "portpaddle/base/system_clock.h"
@@ -19,7 +19,7 @@
 
 namespace Portpaddle {
 
-/// What goes wrong, each a chance in a second.
+/// Injected failures; each value is a probability per second.
 struct FleetTroubles
 {
     double killAll = 0;
@@ -29,39 +29,39 @@
     double join = 0;
 };
 
-/// What happens once, in seconds from the beginning; never where there is no value.
+/// Single events, in seconds from the beginning; an event without a value never occurs.
 struct FleetEvents
 {
     std::optional<double> killAll{};
-    /// Upstreams end: half of the requests of the last @ref crashSpan seconds fail at once.
+    /// Upstreams crash: half of the requests of the last @ref crashSpan seconds fail at once.
     std::optional<double> crash{};
     double crashSpan = 3;
-    /// From then on one daemon after the other is started anew, one in each @ref rollGap seconds.
+    /// Rolling restart: one daemon after the other restarts from then on, one every @ref rollGap seconds.
     std::optional<double> roll{};
     double rollGap = 0.2;
-    /// Callers of the first half of the data centres turn to the others.
+    /// Callers of the first half of the data centres move to the other half.
     std::optional<double> shift{};
-    /// From then on callers of each daemon turn to the next one each second.
+    /// Callers of each daemon move to the next one every second from then on.
     std::optional<double> wander{};
 };
 
-/// What is played.
+/// Parameters of a simulation.
 struct RetryScenario
 {
     unsigned daemons = 61;
-    /// Repeats allowed in a window whatever callers send.
+    /// Retries allowed in a window independently of the number of requests.
     double fixedNumber = 162;
-    /// Of callers, at each daemon.
+    /// Requests per second of callers at each daemon.
     double requestsPerSecond = 1;
-    /// Requests rise and fall between that and this many times it, each for five seconds.
+    /// The request rate alternates every five seconds between requestsPerSecond and this multiple of it.
     double swing = 1;
-    /// For so long nothing fails, and no trouble of the list occurs.
+    /// Initial time without failed requests and injected failures.
     std::chrono::seconds calm{ 0 };
-    /// Part of the daemons at which requests fail; at the others none does.
+    /// Fraction of the daemons at which requests fail; at the others none fails.
     double failingPart = 1;
-    /// Part of the attempts that fail there.
+    /// Fraction of the attempts that fail at those daemons.
     double failingAttempts = 1;
-    /// How often a request that fails may be sent.
+    /// The most attempts for a request that fails.
     unsigned attempts = 2;
     FleetTroubles troubles{};
     FleetEvents events{};
@@ -73,11 +73,11 @@
     RetryFleet(const RetryScenario &scenario, RetryWay way, std::uint64_t seed);
 
     void play(std::chrono::seconds length);
-    /// Repeats in the worst window, less what is allowed there: a ratio of the requests of that window, of the one before it or
-    /// of the one half a window before it, whichever are most, and the fixed number.
+    /// Returns the retries in the worst window minus those allowed: the fixed number plus a ratio of the requests of that window,
+    /// of the one before it or of the one half a window before it, whichever has the most requests.
     double worstExcess() const;
     std::size_t repeats() const;
-    /// Failed requests that were not sent once more for want of budget.
+    /// Returns the number of retries denied because the budget was used up.
     std::size_t denied() const;
 
 private:
@@ -92,24 +92,24 @@
         std::unique_ptr<RetryMembers> members;
         std::unique_ptr<RetryAccount> account;
         double rounding = 0;
-        /// When its repeats that are under way are known to have arrived.
+        /// When the arrival of each retry in progress becomes known to the daemon.
         std::deque<SteadyTime> underWay;
-        /// Its registration counts until then.
+        /// When the registration of the daemon expires.
         SteadyTime leased{};
         SteadyTime cutUntil{};
         SteadyTime heldUpUntil{};
-        /// What it last read: of its data centre, and the most of all.
+        /// The list of its data centre as last read, and the most daemons seen over all data centres.
         std::set<std::string> list;
         std::size_t mostKnown = 0;
     };
 
     bool happens(double perSecond);
-    /// Whether an event of this moment of its own takes place in this step.
+    /// Returns whether an event that is set for @p moment occurs in this step.
     bool isDue(const std::optional<double> &moment) const;
     double secondsPlayed() const;
-    /// Requests a second that callers send to @p daemon now.
+    /// Returns the requests per second that callers send to @p daemon now.
     double rateOf(const Daemon &daemon) const;
-    /// What the scenario sets for this moment.
+    /// Carries out the events that are due in this step.
     void playEvents();
     SteadyTime::duration randomTime(std::chrono::seconds longest);
     void add();
@@ -118,9 +118,9 @@
     void lookAtList();
     double fixedPartOf(const Daemon &daemon) const;
     void serve(Daemon &daemon);
-    /// One request of a caller, and its repeats.
+    /// Handles one request of a caller and its retries.
     void take(Daemon &daemon);
-    /// Sends a request once more; false where that is denied.
+    /// Sends a retry; returns false where the budget denies it.
     bool repeat(Daemon &daemon);
 
     RetryScenario scenario_;
@@ -128,7 +128,7 @@
     SeededRandom random_;
     SteadyTime beganAt_{ std::chrono::hours(1) };
     SteadyTime now_ = beganAt_;
-    /// The daemon that is started anew next, where all are in turn.
+    /// Index of the daemon that the rolling restart restarts next.
     std::size_t nextRolled_ = 0;
     std::deque<Daemon> daemons_;
     std::vector<SteadyTime> requests_;
--- a/tests/support/retry_ways.cpp
+++ b/tests/support/retry_ways.cpp
@@ -25,7 +25,7 @@
     }
 }
 
-/// Counts what was earned and spent over a window behind the daemon.
+/// Counts earned and spent retries over a sliding window.
 class WindowAccount : public RetryAccount
 {
 public:
@@ -63,7 +63,7 @@
     unsigned underWay_ = 0;
 };
 
-/// What requests pay for is kept for a second, and the fixed part counted over a window.
+/// Keeps credit earned by requests for a second, and counts the fixed part over a window.
 class LapsingAccount : public RetryAccount
 {
 public:
@@ -163,7 +163,7 @@
     SteadyTime filledAt_{};
 };
 
-/// The product's.
+/// Uses the product's RetryCredit.
 class CreditAccount : public RetryAccount
 {
 public:
--- a/tests/support/retry_ways.h
+++ b/tests/support/retry_ways.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Ways in which one daemon may count the repeats of a system-wide budget: the product's and those weighed against it.
+/// Ways in which one daemon may count retries against a system-wide budget: the product's and the alternatives.
 #pragma once
 
 #include "portpaddle/interfaces/clock.h"
@@ -12,33 +12,31 @@
 namespace Portpaddle {
 
 enum class RetryWay {
-    /// What requests pay for over a window behind the daemon, and an even part of the fixed number from the start of each
-    /// process.
+    /// Credit earned by requests over a sliding window, and an even part of the fixed number from the start of each process.
     EvenFromStart,
-    /// The same, with a fixed part only once the daemon was listed for a window.
+    /// As EvenFromStart, but the fixed part counts only once the daemon was listed for a window.
     SlidingWindow,
-    /// What requests pay for lapses after a second, but for one whole repeat; fixed part as before.
+    /// Credit earned by requests expires after a second, except for one whole retry; fixed part as in SlidingWindow.
     LapsingCredit,
-    /// One bucket: requests fill it by the ratio, time by three tenths of the fixed part a window; it holds seven tenths of that
-    /// part,
-    /// one at least, and is empty at first.
+    /// One token bucket: requests fill it by the ratio, time by three tenths of the fixed part per window. Its capacity is seven
+    /// tenths of that part and at least one; initially it is empty.
     OneBucket,
     /// As the product does; see RetryCredit.
     SharedCredit,
-    /// The same with a quarter of what requests pay for saved.
+    /// As SharedCredit, with a quarter of the credit earned by requests saved.
     SharedCreditQuarter,
-    /// The same with three quarters saved.
+    /// As SharedCredit, with three quarters saved.
     SharedCreditMost,
 };
 std::string_view nameOf(RetryWay way);
 
-/// What a daemon knows of its part.
+/// The part of the budget that a daemon may spend, as far as the daemon knows.
 struct RetryPart
 {
     double ratio = 0;
-    /// Of the fixed number.
+    /// Part of the fixed number.
     double fixed = 0;
-    /// Drawn at the start of the process.
+    /// Random offset for rounding, drawn at the start of the process.
     double rounding = 0;
     std::chrono::milliseconds window{ 0 };
 };
@@ -51,7 +49,7 @@
 
     virtual void setPart(const RetryPart &part, SteadyTime now) = 0;
     virtual void recordFirstAttempt(SteadyTime now) = 0;
-    /// Takes a repeat where one is left.
+    /// Takes one retry from the budget; returns false where none is left.
     virtual bool takeRetry(SteadyTime now) = 0;
     virtual void recordRetryArrival(SteadyTime now) = 0;
 };
--- a/tests/support/scripted_store.h
+++ b/tests/support/scripted_store.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// A watched store in memory that fails on order.
+/// A watched store in memory that fails on demand.
 #pragma once
 
 #include "portpaddle/interfaces/leased_store.h"
@@ -102,7 +102,7 @@
         std::unique_lock lock(mutex_);
         ++calls_;
         KeyChanges changes;
-        // Short waits keep the end of a test short.
+        // Short waits let a test end quickly.
         changed_.wait_for(lock, std::min(timeout, Millis(50)), [&] {
             changes.changes.clear();
             for (const auto &[at, change] : history_) {
@@ -129,7 +129,7 @@
         return changes;
     }
 
-    /// The next waiting call that has changes to tell hangs until it is interrupted, as if its answer had been lost.
+    /// Makes the next waiting call that has changes to report hang until it is interrupted, as if its answer had been lost.
     void loseNextAnswer()
     {
         const std::lock_guard lock(mutex_);
--- a/tests/support/scripted_upstream.cpp
+++ b/tests/support/scripted_upstream.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Reads bytes as they come; false when the peer ended.
+/// Appends the next received bytes; returns false when the peer closed the connection.
 bool readMore(int socket, std::string &buffer)
 {
     char bytes[4096];
@@ -53,7 +53,7 @@
     return request;
 }
 
-/// Takes one request out of @p buffer, reading more as needed.
+/// Removes one request from @p buffer, reading more as needed.
 std::optional<SeenRequest> readRequest(int socket, std::string &buffer)
 {
     std::size_t end = std::string::npos;
@@ -176,7 +176,7 @@
         }
         if (answer.then == ScriptedAnswer::Then::Reset) {
             reset(socket);
-            // The descriptor stays reserved until the end, so that no other connection gets its number.
+            // The descriptor stays reserved until the end, so that no other connection gets the same number.
             const int placeholder = ::socket(AF_INET, SOCK_STREAM, 0);
             dup2(placeholder, socket);
             close(placeholder);
--- a/tests/support/scripted_upstream.h
+++ b/tests/support/scripted_upstream.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// An upstream on a loopback port whose answers a test writes byte for byte, also those that no sound server gives.
+/// An upstream on a loopback port whose answers a test defines byte for byte, including malformed ones.
 #pragma once
 
 #include "portpaddle/base/thread.h"
@@ -15,7 +15,7 @@
 
 namespace Portpaddle {
 
-/// A request as it stood on the wire.
+/// A request as received on the wire.
 struct SeenRequest
 {
     std::string requestLine;
@@ -29,14 +29,14 @@
 /// What the upstream does with one request.
 struct ScriptedAnswer
 {
-    /// Written as they are.
+    /// Bytes of the answer, sent unchanged.
     std::string bytes;
     enum class Then { KeepOpen, Close, Reset, Hang } then = Then::KeepOpen;
-    /// Called when the bytes are written, before what follows; may wait.
+    /// Called after the bytes are written and before @ref then takes effect; may block.
     std::function<void()> afterWriting = [] {};
 };
 
-/// Serves each connection on a thread of its own.
+/// Serves each connection on its own thread.
 class ScriptedUpstream
 {
 public:
@@ -45,11 +45,11 @@
     explicit ScriptedUpstream(Script script);
     ~ScriptedUpstream();
 
-    /// IP:PORT.
+    /// Returns the address as IP:PORT.
     std::string address() const;
     std::vector<SeenRequest> seen() const;
     unsigned connections() const;
-    /// Connections that the other side ended.
+    /// Returns the number of connections that the peer closed.
     unsigned closedByPeer() const;
 
 private:
@@ -69,19 +69,19 @@
     Thread acceptor_;
 };
 
-/// An answer of 200 with a length, signed, to the request with @p id.
+/// Returns a signed answer with status 200 and a length to the request with @p id.
 std::string wholeAnswer(const std::string &id, const std::string &body, const std::string &moreHeaders = {});
-/// The id that the caller gave @p request.
+/// Returns the id that the caller gave @p request.
 std::string idOf(const SeenRequest &request);
-/// A signed answer with the body of @p request.
+/// Returns a signed answer with the body of @p request.
 ScriptedAnswer echo(const SeenRequest &request);
-/// A refusal with the proof that nothing ran.
+/// A refusal that confirms that the request was not run.
 inline constexpr const char *notRunAnswer = "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-/// The head of a chunked event stream.
+/// Returns the head of a chunked event stream.
 std::string streamHead(const std::string &id);
-/// Events of the given ids.
+/// Returns events with the given ids.
 std::string events(unsigned first, unsigned last);
-/// One chunk with events of the given ids.
+/// Returns one chunk with events of the given ids.
 std::string eventChunk(unsigned first, unsigned last);
 inline const std::string lastChunk = "0\r\n\r\n";
 
--- a/tests/support/settings_text.h
+++ b/tests/support/settings_text.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Builds trees of settings for tests.
+/// Builds settings trees for tests.
 #pragma once
 
 #include "portpaddle/settings/compiled.h"
@@ -11,7 +11,7 @@
 
 namespace Portpaddle {
 
-/// The tree that @p text describes, as version 1; throws when the text is not readable.
+/// Returns the tree that @p text describes, as version 1; throws std::runtime_error when the text is malformed.
 inline SettingsTree treeFrom(const std::string &text)
 {
     const Result<SettingsPatch> patch = parseSettings(text, "test");
--- a/tests/support/suspended_clock.cpp
+++ b/tests/support/suspended_clock.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-// In place of the C library's, for this program and the libraries that it has loaded.
+// Replaces the function of the C library for this program and the libraries that it loads.
 extern "C" int clock_gettime(clockid_t clock, timespec *time) noexcept
 {
     const long status = syscall(SYS_clock_gettime, clock, time);
--- a/tests/support/suspended_clock.h
+++ b/tests/support/suspended_clock.h
@@ -1,15 +1,15 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Lets the VM of this process be suspended: time passes by the calendar and by the clock since boot, while the clock that the
-/// kernel schedules by stands still.
+/// Simulates a suspended VM: the real-time and boot-time clocks advance, while the monotonic clock, by which the kernel
+/// schedules, stands still.
 #pragma once
 
 #include <chrono>
 
 namespace Portpaddle {
 
-/// As long as it lives the process has been suspended for @p time.
+/// Lets the process appear to have been suspended for @p time during the lifetime of the object.
 class Suspension
 {
 public:
--- a/tests/support/test_site.h
+++ b/tests/support/test_site.h
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-/// Whole daemons in the test's process, with stand-ins for everything around them, on free loopback ports.
+/// Complete daemons in the test process, with stand-ins for all other components, on free loopback ports.
 #pragma once
 
 #include "portpaddle/base/digest.h"
@@ -22,7 +22,7 @@
 
 namespace Portpaddle {
 
-/// Builds settings, upstreams and daemons step by step; regions and data centres are named alike, like "north".
+/// Builds settings, upstreams and daemons step by step; a region and its data centre have the same name, such as "north".
 class TestSite
 {
 public:
@@ -105,7 +105,7 @@
         config.gossipConfig.pushInterval = Millis{ 50 };
         config.gossipConfig.bytesPerSecond = 100'000;
         config.settingsWatch = Millis{ 100 };
-        // One client per daemon, so that cutting one daemon off does not touch the others.
+        // One client per daemon, so that cutting one daemon off does not affect the others.
         platformClients_.push_back(std::make_unique<HttpPlatform>(platformAddress_));
         daemons.push_back(std::make_unique<Daemon>(config, *platformClients_.back(), clock, random));
         const Result<DaemonAddresses> started = daemons.back()->start();
@@ -157,7 +157,7 @@
         }.dump();
     }
 
-    /// The text inside the events of a streamed answer.
+    /// Returns the text inside the events of a streamed answer.
     static std::string textOf(const std::string &events)
     {
         std::string text;
