--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Clients that keep their connections for as long as the daemon at the other end lives."""
+"""Clients that keep their connections open until the daemon at the other end stops."""
 import asyncio
 
 import aiohttp
@@ -9,7 +9,7 @@
 LONG_DEADLINE = 12.0  # for streams that may be long
 
 
-def repeats(route):
+def allows_retries(route):
     return route["attempts"] > 1 and (route["kind"] == "idempotent" or route.get("resumable"))
 
 
@@ -17,7 +17,7 @@
     def __init__(self, soak, number):
         self.soak = soak
         self.number = number
-        self.sessions = {}  # name of a daemon: session with its one connection
+        self.sessions = {}  # name of a daemon: session with a single connection
 
     async def run(self):
         while not self.soak.ending:
@@ -28,12 +28,12 @@
             await session.close()
 
     def routes(self):
-        """Where repeats are pressed for, those that repeat."""
+        """Returns all routes, or with --press only those that allow retries."""
         routes = self.soak.routes
-        return [route for route in routes if repeats(route)] if self.soak.options.press else routes
+        return [route for route in routes if allows_retries(route)] if self.soak.options.press else routes
 
     async def ask(self, daemon, route):
-        """One attempt; returns whether it succeeded."""
+        """Sends one attempt; returns whether it succeeded."""
         soak = self.soak
         attempt = soak.next_attempt()
         soak.checks.sending(attempt, route, daemon)
@@ -44,10 +44,10 @@
         if session is None:
             session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=1), auto_decompress=False)
             self.sessions[daemon.name] = session
-        leaves = soak.random.random() < 0.03
+        abandons = soak.random.random() < 0.03
         headers = {"Host": route["host"], "Portpaddle-Attempt-Id": attempt,
                    "Portpaddle-Deadline-Remaining": str(int(deadline * 1000)),
-                   # Not a client's to set: must not reach an upstream.
+                   # Clients may not set these headers, so they must not reach an upstream.
                    "Portpaddle-Hold": "h1", "Portpaddle-Pin-Duration": "4000"}
         if route["kind"] == "stream":
             headers["Portpaddle-Token-Counts"] = "1000,100"
@@ -55,11 +55,11 @@
         body = bytearray()
         url = f"http://{daemon.host}:{daemon.entry_proxy.port}{route['pathPrefix']}x"
         try:
-            timeout = aiohttp.ClientTimeout(total=soak.random.uniform(0.01, 0.3) if leaves else deadline + 0.5)
+            timeout = aiohttp.ClientTimeout(total=soak.random.uniform(0.01, 0.3) if abandons else deadline + 0.5)
             async with session.post(url, data=f"body of {attempt}".encode(), headers=headers, timeout=timeout) as answer:
                 try:
-                    async for piece in answer.content.iter_any():
-                        body += piece
+                    async for chunk in answer.content.iter_any():
+                        body += chunk
                 except aiohttp.ClientPayloadError:
                     soak.checks.broke_off(attempt, "torn")
                     if route["kind"] == "stream":
@@ -68,7 +68,7 @@
                 soak.checks.answered(attempt, route, life, newest, answer.status, answer.headers, bytes(body))
                 return answer.status == 200
         except asyncio.TimeoutError:
-            soak.checks.tally["left" if leaves else "deadline"] += 1
+            soak.checks.tally["left" if abandons else "deadline"] += 1
             return False
         except (aiohttp.ClientError, OSError) as error:
             soak.checks.broke_off(attempt, type(error).__name__)
--- a/tests/soak/crashing_requests_tests.py
+++ b/tests/soak/crashing_requests_tests.py
@@ -1,14 +1,12 @@
 #!/usr/bin/python3
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""A request that ends each upstream that begins to run it. Usage: crashing_requests_tests.py PROGRAM
-
-What users saw: engines ended one after the other, up to two in a second, and most short questions of their regions were refused for
-a quarter of a minute at a time. One request came again and again, with the same path, caller and body, at any daemon; each time it
-was a new attempt with a new id, was sent to an engine, ended it, and was sent to a second one. Nothing in the system remembered a
-request for longer than one attempt of its caller, so that 27 engines ended under it.
-Evidence: at each end of an engine the lines of several daemons show broken runs without an event, one of them the same question as
-at the end before, 48 to 82 ms after it had begun to run; calm returns at the same load with the request's last coming.
+"""A request that crashes each upstream that begins to run it. Usage: crashing_requests_tests.py PROGRAM
+
+Guards against one request that crashes engine after engine, which makes most short requests of their regions be refused for a
+quarter of a minute at a time. Its caller sends the same path and body to any daemon again, each time as a new attempt with a new id;
+a daemon that remembers a request only for one attempt sends it to an engine, and after the crash to a second one. 27 engines ended
+this way, each 48 to 82 ms after the request had begun to run.
 """
 import asyncio
 import time
@@ -19,11 +17,11 @@
 from small_fleet import DEADLINE_MS, HANG_BOUND, SmallFleet
 from upstreams import event
 
-CONTACT = 5.0  # seconds in which all daemons that are in touch have to know
-RETRIES_ALLOWED = 3  # after that
-BACK_AFTER = 0.6  # seconds from the end of an upstream to its next life
-RECORD_LAPSES = 0.3  # seconds for which the record of an upstream that ended still stands
-BETWEEN_ASKS = 0.25
+CONTACT = 5.0  # seconds within which all connected daemons have to know
+RETRIES_ALLOWED = 3  # after CONTACT
+BACK_AFTER = 0.6  # seconds from the crash of an upstream to its next incarnation
+RECORD_REMAINS = 0.3  # seconds after its crash for which the record of an upstream remains in the store
+REQUEST_INTERVAL = 0.25
 REGIONS = ("north", "north", "south")  # of the daemons
 UPSTREAMS_IN_REGION = 3
 BAD, GOOD = b"a question that ends engines", b"a harmless question"
@@ -36,7 +34,7 @@
 
 
 class FragileUpstream:
-    """Streams three events; its process ends when it begins to run the bad request, and is back a moment later."""
+    """Streams three events; crashes when it begins to run the bad request, and restarts after BACK_AFTER."""
 
     def __init__(self, fleet, name, region):
         self.fleet, self.name, self.region = fleet, name, region
@@ -62,7 +60,7 @@
         return f"{self.name}-{self.life}"
 
     async def end(self):
-        """As a process that crashes: nobody listens, all connections are reset, the record stands for a while."""
+        """Acts as a crashed process: the port is closed, all connections are reset, and the record remains for a while."""
         if self.runner is None:
             return
         runner, self.runner = self.runner, None
@@ -71,9 +69,9 @@
         for transport in list(self.transports):
             transport.abort()
         await runner.cleanup()
-        await asyncio.sleep(RECORD_LAPSES)
+        await asyncio.sleep(RECORD_REMAINS)
         self.fleet.store.remove(f"servers/{self.id()}")
-        await asyncio.sleep(BACK_AFTER - RECORD_LAPSES)
+        await asyncio.sleep(BACK_AFTER - RECORD_REMAINS)
         await self.begin()
 
     async def serve(self, request):
@@ -110,60 +108,60 @@
     async def ask(self, daemon, body, more=()):
         return await super().ask(daemon, "/ask/x", body, more)
 
-    async def ask_badly_for(self, seconds):
-        """The bad request comes at any daemon, each time as a new attempt; returns what its caller was told."""
+    async def send_bad_request_for(self, seconds):
+        """Sends the bad request to random daemons, each time as a new attempt; returns the results that its caller got."""
         seen = []
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             seen.append(await self.ask(self.random.choice(self.daemons), BAD))
-            await asyncio.sleep(BETWEEN_ASKS)
+            await asyncio.sleep(REQUEST_INTERVAL)
         return seen
 
     def retries_too_late(self):
         times = sorted(crash[0] for crash in self.crashes)
         return [at for at in times[3:] if at > times[2] + CONTACT]
 
-    async def test_request_that_comes_again_reaches_no_more_upstreams(self):
-        seen = await self.ask_badly_for(2 * CONTACT)
-        self.assertGreaterEqual(len(self.crashes), 1, "the request ended no upstream: nothing was tried")
-        self.assertLessEqual(len(self.retries_too_late()), RETRIES_ALLOWED, f"{len(self.crashes)} upstreams ended")
+    async def test_crashing_request_that_is_sent_again_reaches_no_more_upstreams(self):
+        seen = await self.send_bad_request_for(2 * CONTACT)
+        self.assertGreaterEqual(len(self.crashes), 1, "the request crashed no upstream, so nothing was tested")
+        self.assertLessEqual(len(self.retries_too_late()), RETRIES_ALLOWED, f"{len(self.crashes)} upstreams crashed")
         ran = {attempt for _, attempt, _ in self.crashes}
         for status, whole, headers, attempt in seen:
             if status == 503:
-                self.assertNotIn(attempt, ran, "told that it had not run")
+                self.assertNotIn(attempt, ran, "refused as not run, but had run")
                 self.assertIn("Retry-After", headers)
             self.assertNotEqual(status, 200)
-        self.assertEqual(seen[-1][0], 503, "never refused unsent")
+        self.assertEqual(seen[-1][0], 503, "never refused before it was sent to an upstream")
 
-    async def test_it_is_known_after_all_daemons_lost_power(self):
-        await self.ask_badly_for(CONTACT)
+    async def test_crashing_request_stays_quarantined_after_all_daemons_lost_power(self):
+        await self.send_bad_request_for(CONTACT)
         await self.restart_all()
         await self.eventually(self.all_serve)
         before = len(self.crashes)
-        await self.ask_badly_for(CONTACT)
-        self.assertLessEqual(len(self.crashes) - before, RETRIES_ALLOWED, "forgotten with the daemons")
+        await self.send_bad_request_for(CONTACT)
+        self.assertLessEqual(len(self.crashes) - before, RETRIES_ALLOWED, "the quarantine did not survive the restart of all daemons")
 
     async def test_other_requests_of_the_same_path_are_served(self):
-        await self.ask_badly_for(CONTACT)
+        await self.send_bad_request_for(CONTACT)
         await self.eventually(self.all_serve)
         for daemon in self.daemons:
             status, whole, _, _ = await self.ask(daemon, GOOD)
             self.assertEqual((status, whole), (200, True))
 
-    async def test_the_same_body_of_another_caller_is_not_refused_unseen(self):
-        await self.ask_badly_for(CONTACT)
+    async def test_the_same_body_of_another_caller_is_sent_to_an_upstream(self):
+        await self.send_bad_request_for(CONTACT)
         await self.eventually(self.all_serve)
         before = len(self.crashes)
         await self.ask(self.daemons[0], BAD, [("Authorization", "Bearer another")])
         self.assertGreater(len(self.crashes), before)
 
-    async def test_harmless_request_that_repeats_is_served_after_upstreams_ended_under_it(self):
-        """The same body again and again, as a monitor sends it: it has been served before, so it is not what ends upstreams."""
+    async def test_harmless_repeated_request_is_served_after_upstreams_crashed_while_running_it(self):
+        """Sends one body repeatedly, as a monitor does; since the request completed before, it is not the cause of the crashes."""
         await self.eventually(lambda: self.served(GOOD))
         for upstream in self.upstreams[:3] + self.upstreams[3:]:
-            asks = [asyncio.create_task(self.ask(daemon, GOOD)) for daemon in self.daemons for _ in range(4)]
+            requests = [asyncio.create_task(self.ask(daemon, GOOD)) for daemon in self.daemons for _ in range(4)]
             self.tasks.append(asyncio.create_task(upstream.end()))
-            await asyncio.gather(*asks)
+            await asyncio.gather(*requests)
             await asyncio.sleep(BACK_AFTER)
         await self.eventually(lambda: self.served(GOOD))
 
--- a/tests/soak/daemons.py
+++ b/tests/soak/daemons.py
@@ -1,13 +1,13 @@
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""The real daemons, each a process of its own, and their settings files."""
+"""Runs the real daemons, each in a process of its own, and writes their settings files."""
 import asyncio
 import json
 import os
 import signal
 import socket
 
-GRACE = 8  # seconds from the order to stop to the kill, as the settings say
+GRACE = 8  # seconds from the order to stop to the kill, as in the settings
 BOUNDS = {"drainMs": 3000, "graceS": GRACE, "budgetRatio": 0.2, "budgetWindowS": 10, "budgetExtraAttempts": 54,
           "coldOvershoot": 1.5, "coldSlack": 3, "ttl_max_s": 5}
 
@@ -22,8 +22,8 @@
         self.process = None
         self.life = 0
         self.paused = False
-        self.disturbed_at = 0.0  # when it was last held or cut off, or ran again after it
-        self.stop_ordered = None  # when the platform last asked it to stop
+        self.disturbed_at = 0.0  # time of the last pause or resumption
+        self.stop_ordered = None  # time of the last order to stop
         self.watcher = None
         self.log = open(os.path.join(soak.directory, name + ".log"), "ab")
 
@@ -71,7 +71,7 @@
             self.process.send_signal(number)
 
     def minds(self, number):
-        """Whether the process catches, blocks or ignores a signal."""
+        """Returns whether the process catches, blocks or ignores a signal."""
         if not self.running():
             return False
         with open(f"/proc/{self.process.pid}/status") as file:
@@ -90,7 +90,7 @@
         self.send(signal.SIGCONT)
 
     async def stop(self):
-        """As the platform stops it: an order, then the kill."""
+        """Stops the daemon as the platform does: SIGTERM, and SIGKILL after GRACE."""
         self.resume()
         self.stop_ordered = self.soak.now()
         self.send(signal.SIGTERM)
@@ -105,13 +105,13 @@
 
 
 def own_host(number):
-    """A loopback address that only this soak uses: another one beside it must not take its ports."""
+    """Returns a loopback address that only this soak uses, so that another soak on the machine cannot take its ports."""
     pid = os.getpid()
     return f"127.{1 + pid // 250 % 250}.{1 + pid % 250}.{2 + number}"
 
 
 def free_ports(host, count):
-    """Ports below those that the kernel hands out by itself, so that no outgoing connection holds one when a daemon comes back."""
+    """Returns ports below the ephemeral range, so that no outgoing connection occupies one when a daemon restarts."""
     with open("/proc/sys/net/ipv4/ip_local_port_range") as file:
         below = int(file.read().split()[0])
     found = []
--- a/tests/soak/notices.py
+++ b/tests/soak/notices.py
@@ -1,21 +1,21 @@
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""What upstreams get from daemons that they told that they leave, or for how long they want nothing.
+"""Checks that daemons send no requests to upstreams that announced their leaving or asked for a backoff.
 
-Only requests whose daemon sends to the upstream itself count: those that it took in the upstream's own region.
+Only requests that a daemon accepted in the upstream's own region count, since that daemon sends them to the upstream itself.
 """
 from collections import Counter, defaultdict
 
-NOTICE = 0.5  # seconds after an answer in which requests may still be under way
-SLACK = 1.0  # the soak's own processes are late on a busy machine
-ALLOWED = 2  # requests within each time that an upstream asked for
+NOTICE = 0.5  # seconds after an answer within which requests may still be in flight
+SLACK = 1.0  # the soak's own processes may be delayed on a loaded machine
+ALLOWED = 2  # requests tolerated within each backoff period
 
 
 class ToldNotices:
     def __init__(self):
-        self.left = set()  # (daemon's life, upstream's life): an answer that says it leaves was passed on
-        self.taken = {}  # attempt: (daemon, its life, upstreams that had told that life before)
-        self.asked = defaultdict(list)  # (daemon's life, upstream's life): [when answered, until when, arrivals]
+        self.left = set()  # (daemon's incarnation, upstream's incarnation) of each leaving notice that reached a client
+        self.taken = {}  # attempt: (daemon, its incarnation, upstreams whose leaving it knew by then)
+        self.asked = defaultdict(list)  # (daemon's incarnation, upstream's incarnation): [time of the answer, end of the backoff, arrivals]
         self.counts = Counter()
 
     def sending(self, attempt, daemon):
@@ -23,14 +23,14 @@
         self.taken[attempt] = (daemon, life, {upstream for told, upstream in self.left if told == life})
 
     def passed_on(self, attempt, headers, upstreams):
-        """A whole answer reached its client."""
+        """Records the leaving notice of an answer that reached its client completely."""
         if headers.get("Server-Leaving") != "1" or attempt not in self.taken:
             return
         daemon, life, _ = self.taken[attempt]
-        speaker = headers.get("Portpaddle-Server-Seal", "").rpartition(".")[0]
+        sender = headers.get("Portpaddle-Server-Seal", "").rpartition(".")[0]
         for upstream in upstreams:
-            if upstream.id == speaker and upstream.region == daemon.region and daemon.life_id() == life:
-                self.left.add((life, speaker))
+            if upstream.id == sender and upstream.region == daemon.region and daemon.life_id() == life:
+                self.left.add((life, sender))
                 self.counts["leavings passed on"] += 1
 
     def turned_away(self, upstream, attempt, asked, now):
@@ -40,7 +40,7 @@
             self.counts["times asked for"] += 1
 
     def arrived(self, upstream, attempt, goes_on, timing, now, fail):
-        """@p goes_on: with a run whose memory was moved there, which its upstream's leaving does not end."""
+        """Checks one arrival; @p goes_on: the run was moved here with its memory, and may continue on an upstream that leaves."""
         daemon, life, told = self.taken.get(attempt, (None, None, ()))
         if daemon is None or daemon.region != upstream.region or daemon.life_id() != life:
             return
--- a/tests/soak/planned_stop_tests.py
+++ b/tests/soak/planned_stop_tests.py
@@ -1,10 +1,10 @@
 #!/usr/bin/python3
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""What a real daemon takes once it was ordered to stop. Usage: planned_stop_tests.py PROGRAM
+"""Requests that a real daemon accepts after the order to stop. Usage: planned_stop_tests.py PROGRAM
 
-The upstream holds its streams until the daemon's process has gone, so that no verdict depends on how long something took: a request
-that is taken then is cut.
+The upstream holds its streams until the daemon's process has ended, so that no result depends on how long a step takes: a stream
+that is accepted after the order is always cut.
 """
 import asyncio
 import os
@@ -26,10 +26,10 @@
 PROGRAM = sys.argv.pop(1)
 HANG_BOUND = 60  # only to turn a hang into a failure
 DEADLINE_MS = 30_000  # longer than a stop lasts
-# At 3 ms for a token these take more than twice the 7.5 s of a stop.
+# At 3 ms per token these streams take more than twice the 7.5 s of a stop.
 LONG = {"Portpaddle-Token-Counts": "1000,6000", "Portpaddle-Prompt-Prefix": "a1:1000"}
 SHORT = {**LONG, "Portpaddle-Token-Counts": "1000,300"}
-HELD_UP = 3.0  # seconds
+PAUSE = 3.0  # seconds
 CONFIGURATION = {
     "version": 1, "limits": {},
     "routes": [{"name": "long", "host": "a.example", "pathPrefix": "/stream/", "kind": "stream", "service": "engines", "attempts": 1,
@@ -41,7 +41,7 @@
 
 
 class HoldingUpstream:
-    """Answers plain requests; sends one event of a stream and the rest when it is told to."""
+    """Answers plain requests; sends one event of a stream, and the other one after the release."""
 
     def __init__(self):
         self.release = asyncio.Event()
@@ -85,7 +85,7 @@
         writer.write("no settings")
         writer.close()
         output, _ = await asyncio.wait_for(process.communicate(), HANG_BOUND)
-        self.assertIn(b"daemon_start_failed", output, "ended by the signal")
+        self.assertIn(b"daemon_start_failed", output, "the signal ended the daemon")
 
 
 class PlannedStop(unittest.IsolatedAsyncioTestCase):
@@ -123,7 +123,7 @@
     async def eventually(self, condition):
         end = time.monotonic() + HANG_BOUND
         while not await condition():
-            self.assertLess(time.monotonic(), end, "never happened")
+            self.assertLess(time.monotonic(), end, "the condition did not become true")
             await asyncio.sleep(0.02)
 
     async def readiness(self, status):
@@ -138,7 +138,7 @@
         await self.eventually(lambda: self.readiness(503))
 
     async def ask(self, path, part="entry", headers=(), deadline=DEADLINE_MS):
-        """Status, whether the answer came whole, and its headers."""
+        """Returns the status, whether the answer was complete, and its headers."""
         self.attempts += 1
         sent = {"Host": "a.example", "Portpaddle-Attempt-Id": f"a{self.attempts}", "Portpaddle-Deadline-Remaining": str(deadline),
                 **dict(headers)}
@@ -152,29 +152,29 @@
     async def test_long_stream_of_a_caller_is_refused_at_once(self):
         await self.order_to_stop()
         status, whole, headers = await self.ask("/stream/x", headers=LONG)
-        self.assertEqual((status, whole), (503, True), "taken, and cut when the process ended")
+        self.assertEqual((status, whole), (503, True), "accepted, and cut when the process ended")
         self.assertIn("Retry-After", headers)
         self.assertEqual(self.upstream.streams, 0)
 
     async def test_long_stream_from_another_daemon_is_refused_at_once(self):
         await self.order_to_stop()
         status, whole, headers = await self.ask("/stream/x", "link", LONG)
-        self.assertEqual((status, whole), (503, True), "taken, and cut when the process ended")
+        self.assertEqual((status, whole), (503, True), "accepted, and cut when the process ended")
         self.assertEqual(headers.get("X-Portpaddle-Outcome"), "not_run")
         self.assertEqual(self.upstream.streams, 0)
 
-    async def test_time_runs_from_the_order_of_a_daemon_that_was_held_up(self):
-        # Paused for longer than streams are taken on their prediction.
+    async def test_stop_deadline_of_a_paused_daemon_counts_from_the_order(self):
+        # The pause is longer than the time in which a stopping daemon accepts streams by their predicted length.
         self.daemon.pause()
         self.daemon.send(signal.SIGTERM)
-        await asyncio.sleep(HELD_UP)
+        await asyncio.sleep(PAUSE)
         self.daemon.resume()
         await self.eventually(lambda: self.readiness(503))
         status, whole, _ = await self.ask("/stream/x", headers=SHORT)
-        self.assertEqual((status, whole), (503, True), "taken, though the order is long past")
+        self.assertEqual((status, whole), (503, True), "accepted long after the order to stop")
 
-    async def test_short_request_is_served(self):
-        # Another stream keeps the process from ending meanwhile.
+    async def test_short_request_after_the_order_to_stop_is_served(self):
+        # Another stream keeps the process running meanwhile.
         held = asyncio.create_task(self.ask("/stream/x"))
         await self.eventually(self.holds_a_stream)
         await self.order_to_stop()
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,18 +1,18 @@
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""A loopback proxy that delays, resets, silences or cuts one way what passes through it."""
+"""A loopback proxy that delays, resets or refuses connections, or withholds the bytes of one or both directions."""
 import asyncio
 
 
 class Proxy:
     def __init__(self, target, source=None):
         self.target = target  # (host, port)
-        self.source = source  # host that connections to the target come from
+        self.source = source  # source host of connections to the target
         self.delay = 0.0
         self.silent_up = False
         self.silent_down = False
         self.refusing = False
-        self.disturbed_at = 0.0  # when it last held bytes back, by the soak's clock; set by who holds them
+        self.disturbed_at = 0.0  # time of the soak's clock at which bytes were last withheld; set by the fault that withholds them
         self.writers = set()
         self.port = 0
 
@@ -47,7 +47,7 @@
         try:
             while True:
                 data = await reader.read(65_536)
-                # Bytes in a silenced direction wait, as behind a cut, and pass when it heals.
+                # As in a network partition, bytes in a silenced direction wait and are delivered after the partition heals.
                 while silent():
                     await asyncio.sleep(0.02)
                 if self.delay:
--- a/tests/soak/repeat_budget_tests.py
+++ b/tests/soak/repeat_budget_tests.py
@@ -1,15 +1,13 @@
 #!/usr/bin/python3
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Repeats of requests over all daemons and their restarts. Usage: repeat_budget_tests.py PROGRAM
+"""Retries by all daemons together, across their restarts. Usage: repeat_budget_tests.py PROGRAM
 
-What users saw: upstreams got more repeats of requests than the budget of the system allows, on most runs, around a moment at which
-all daemons of a large deployment had just started. Each life of a daemon began with its whole part of the budget, whatever the life
-before it had spent a second earlier, and divided the whole by eight daemons until it knew more.
-Evidence: with upstreams that fail each request, six daemons that are killed together and started again spend their parts anew in
-each life; without a restart the same requests stay within the budget.
+Guards against upstreams getting more retries than the budget of the system allows after many daemons start at once. This happens if
+each incarnation of a daemon begins with its whole share of the budget, whatever the previous incarnation spent a second earlier, and
+divides the budget by eight daemons until it knows how many there are.
 
-The window of the budget is an hour, so that all of a test lies in one window and no verdict depends on how long something took.
+The window of the budget is an hour, so that a whole test lies in one window and no result depends on how long a step takes.
 """
 import asyncio
 import unittest
@@ -21,13 +19,13 @@
 
 RATIO, EXTRA = 0.2, 54
 WINDOW_S = 3_600
-BURST = 30  # requests to each daemon in each of its lives
-LIVES = 4
+BURST = 30  # requests to each daemon in each of its incarnations
+INCARNATIONS = 4
 GOOD, FAILING, DECLINED = b"answered", b"failing", b"declined"
 
 
 class CountingUpstream(PlainUpstream):
-    """Fails or declines what asks for it, and counts what arrives."""
+    """Fails or declines a request as its body says, and counts arrivals."""
 
     async def serve(self, request):
         attempt = request.headers.get("Portpaddle-Attempt-Id", "")
@@ -55,12 +53,12 @@
     async def burst(self, body):
         await asyncio.gather(*(self.ask(daemon, "/look/x", body) for daemon in self.daemons for _ in range(BURST)))
 
-    def repeats(self):
+    def retry_count(self):
         return sum(count - 1 for count in self.arrivals.values())
 
     def check(self, body):
-        self.assertLessEqual(self.repeats(), RATIO * self.attempts + EXTRA, f"of {self.attempts} requests, {body}")
-        self.assertGreater(self.repeats(), 0, "nothing was repeated: nothing was tried")
+        self.assertLessEqual(self.retry_count(), RATIO * self.attempts + EXTRA, f"of {self.attempts} requests, {body}")
+        self.assertGreater(self.retry_count(), 0, "no retry was made, so the budget was not tested")
 
 
 class RestartsInSeries(BudgetFleet):
@@ -68,34 +66,34 @@
 
     async def bursts_between_restarts(self, body):
         await self.burst(body)
-        for _ in range(LIVES - 1):
+        for _ in range(INCARNATIONS - 1):
             await self.restart_all()
             await self.eventually(self.all_serve)
             await self.burst(body)
         self.check(body)
 
-    async def test_failing_requests_keep_to_one_budget_over_all_lives(self):
+    async def test_retries_of_failing_requests_stay_within_one_budget_across_restarts(self):
         await self.bursts_between_restarts(FAILING)
 
-    async def test_declined_requests_keep_to_one_budget_over_all_lives(self):
+    async def test_retries_of_declined_requests_stay_within_one_budget_across_restarts(self):
         await self.bursts_between_restarts(DECLINED)
 
 
-class ManyDaemonsThatJustStarted(BudgetFleet):
+class ManyDaemonsAfterStart(BudgetFleet):
     regions = ("north", "south", "west") * 8
 
-    async def test_repeats_keep_to_the_budget(self):
-        """Each is asked as soon as it serves, however many others it knows by then."""
+    async def test_retries_stay_within_the_budget(self):
+        """Sends requests to each daemon as soon as it serves, however many other daemons it knows by then."""
         await self.restart_all()
 
-        async def ask_when_it_serves(daemon):
+        async def request_once_serving(daemon):
             async def serves():
                 return (await self.ask(daemon, "/look/x", GOOD))[0] == 200
 
             await self.eventually(serves)
             await asyncio.gather(*(self.ask(daemon, "/look/x", FAILING) for _ in range(BURST)))
 
-        await asyncio.gather(*(ask_when_it_serves(daemon) for daemon in self.daemons))
+        await asyncio.gather(*(request_once_serving(daemon) for daemon in self.daemons))
         self.check(FAILING)
 
 
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""A small key-value store that speaks the published protocol: revisions, leases, waiting calls, conditional writes, faults."""
+"""A small key-value store with the published protocol (revisions, leases, long polls, conditional writes) and injected faults."""
 import asyncio
 import base64
 import json
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-HISTORY = 2_000  # changes kept for waiting calls, unless the history is forgotten sooner
+HISTORY = 2_000  # changes kept for long polls, unless the history is compacted sooner
 
 
 class Store:
@@ -25,7 +25,7 @@
         self.refused = {}  # address of a caller: status
         self.random = None
 
-    # What the soak itself writes, as operator and as upstream.
+    # Writes of the soak itself, as operator and as upstream.
     def write(self, key, value, lease=0):
         self.revision += 1
         text = value if isinstance(value, str) else json.dumps(value)
@@ -77,7 +77,7 @@
         if self.delay:
             await asyncio.sleep(self.delay)
         answer = await handler(request)
-        # A daemon that was killed while its call waited has no connection left to cut.
+        # A daemon that was killed during its long poll has no connection left to abort.
         if self.random.random() < self.lose_answers and request.transport is not None:
             request.transport.abort()
         return answer
@@ -115,7 +115,7 @@
             if events or left <= 0:
                 return web.json_response({"events": events, "storeRevision": self.revision})
             try:
-                # Leases run out meanwhile, so that the wait is cut into pieces.
+                # The wait is split up, since leases may expire meanwhile.
                 await asyncio.wait_for(self.changed.wait(), min(left, 0.5))
             except asyncio.TimeoutError:
                 pass
--- a/tests/soak/upstream_limits_tests.py
+++ b/tests/soak/upstream_limits_tests.py
@@ -1,12 +1,12 @@
 #!/usr/bin/python3
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Requests to upstreams that name a limit, over all daemons and their restarts. Usage: upstream_limits_tests.py PROGRAM
+"""Limits that upstreams announce, across all daemons and their restarts. Usage: upstream_limits_tests.py PROGRAM
 
-What users saw: an upstream in need named in its answers how many requests a second it takes from all daemons together, and got as
-many as any other: 53 in four seconds where it had named 2 a second.
+Guards against daemons that ignore the requests per second which an upstream announces in its answers for all daemons together: an
+upstream that announced 2 a second got 53 requests in four seconds, as many as any other.
 
-The limits are so low that a whole test lies in a few of their periods; a slow machine only makes the bounds wider.
+The limits are so low that a whole test takes only a few of their periods; a slow machine only makes the bounds wider.
 """
 import asyncio
 import time
@@ -16,16 +16,16 @@
 
 from small_fleet import PLAIN_CONFIGURATION, PlainUpstream, SmallFleet
 
-LIMIT = 0.05  # requests a second
-SHORT_LIMIT = 2.0  # where a test goes on until the upstreams have been asked a few times
-TOLERATED, SLACK = 1.5, 5  # times the limit, and requests besides
-CONTACT = 5.0  # seconds in which all daemons that are in touch have to know
-HELD_BACK = "upstream_limit"  # the reason of refusals
-BURST = 20  # requests to each daemon at a time
+LIMIT = 0.05  # requests per second
+SHORT_LIMIT = 2.0  # requests per second, where a test waits until the upstreams got several requests
+TOLERATED, SLACK = 1.5, 5  # factor on the limit, and requests on top of it
+CONTACT = 5.0  # seconds within which all connected daemons have to know a limit
+LIMIT_REASON = "upstream_limit"  # reason that refusals state
+BURST = 20  # requests to each daemon at once
 
 
-class NamingUpstream(PlainUpstream):
-    """Counts what arrives; names a limit while it has one."""
+class LimitAnnouncingUpstream(PlainUpstream):
+    """Counts arrivals, and announces a limit while one is set."""
 
     def __init__(self, fleet, name, region):
         super().__init__(fleet, name, region)
@@ -47,7 +47,7 @@
     upstreams_in_region = 3
 
     async def begin_upstreams(self):
-        self.upstreams = [NamingUpstream(self, f"a-{region}-{number}", region) for region in sorted(set(self.regions))
+        self.upstreams = [LimitAnnouncingUpstream(self, f"a-{region}-{number}", region) for region in sorted(set(self.regions))
                           for number in range(self.upstreams_in_region)]
         for upstream in self.upstreams:
             await upstream.begin()
@@ -58,8 +58,8 @@
     async def burst(self, daemons=None):
         await asyncio.gather(*(self.ask(daemon, "/look/x", b"") for daemon in daemons or self.daemons for _ in range(BURST)))
 
-    async def name_limits(self, upstreams, limit=LIMIT):
-        """The upstreams name limits, and all daemons have had time to learn of it."""
+    async def announce_limits(self, upstreams, limit=LIMIT):
+        """Makes the upstreams announce limits, and waits until all daemons have had time to learn them."""
         self.limited = upstreams
         for upstream in upstreams:
             upstream.limit = limit
@@ -77,16 +77,16 @@
 class OneRegion(LimitFleet):
     regions = ("north",) * 8
 
-    async def test_all_daemons_together_keep_to_the_limits(self):
-        await self.name_limits(self.upstreams[:2])
+    async def test_all_daemons_together_stay_within_the_limits(self):
+        await self.announce_limits(self.upstreams[:2])
         self.refusals.clear()
         for _ in range(3):
             await self.burst()
         self.check()
-        self.assertEqual([text for text in self.refusals if HELD_BACK in text], [], "the third upstream has no limit")
+        self.assertEqual([text for text in self.refusals if LIMIT_REASON in text], [], "the third upstream has no limit")
 
-    async def test_limits_hold_over_daemons_killed_in_series(self):
-        await self.name_limits(self.upstreams[:2])
+    async def test_limits_hold_while_daemons_are_killed_one_after_another(self):
+        await self.announce_limits(self.upstreams[:2])
         for daemon in self.daemons:
             await daemon.kill()
             await daemon.start()
@@ -94,37 +94,37 @@
             await self.burst([daemon])
         self.check()
 
-    async def test_limits_hold_over_losses_of_power(self):
-        await self.name_limits(self.upstreams[:2])
+    async def test_limits_hold_across_power_losses(self):
+        await self.announce_limits(self.upstreams[:2])
         for _ in range(3):
             await self.restart_all()
             await self.eventually(self.all_serve)
             await self.burst()
         self.check()
 
-    async def test_upstreams_that_name_no_limit_any_more_are_asked_again(self):
-        await self.name_limits(self.upstreams[:2], SHORT_LIMIT)
+    async def test_upstreams_that_no_longer_announce_a_limit_get_requests_again(self):
+        await self.announce_limits(self.upstreams[:2], SHORT_LIMIT)
         for upstream in self.limited:
             upstream.limit = None
 
-        async def asked_again():
+        async def got_requests_again():
             before = [len(upstream.arrivals) for upstream in self.limited]
             await self.burst()
             return all(len(upstream.arrivals) - had >= BURST for upstream, had in zip(self.limited, before))
 
-        await self.eventually(asked_again)
+        await self.eventually(got_requests_again)
 
 
 class WholeService(LimitFleet):
     regions = ("north", "north", "south", "south")
     upstreams_in_region = 2
 
-    async def test_a_service_whose_upstreams_all_name_limits_refuses_the_rest(self):
-        await self.name_limits(self.upstreams)
+    async def test_a_service_whose_upstreams_all_announce_limits_refuses_requests_beyond_them(self):
+        await self.announce_limits(self.upstreams)
         self.refusals.clear()
         await self.burst()
         self.check()
-        self.assertTrue(any(HELD_BACK in text for text in self.refusals), self.refusals[:3])
+        self.assertTrue(any(LIMIT_REASON in text for text in self.refusals), self.refusals[:3])
 
 
 if __name__ == "__main__":
--- a/tests/soak/upstream_notices_tests.py
+++ b/tests/soak/upstream_notices_tests.py
@@ -1,13 +1,13 @@
 #!/usr/bin/python3
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Requests to upstreams that say they leave or ask for time, over daemons' restarts and a store that is away.
+"""Upstreams that announce their leaving or ask for a backoff, across restarts of daemons and an unavailable store.
 Usage: upstream_notices_tests.py PROGRAM
 
-What users saw: daemons went on sending to an upstream 4.5 s after it had told them that it leaves, and 66 requests within 3 s to one
-that had asked one of them for 3 s without any.
+Guards against daemons that go on sending to such upstreams: one got requests 4.5 s after it had announced its leaving, another one
+66 requests within the 3 s of the backoff that it had asked a daemon for.
 
-No verdict hangs on time: a request counts that its client sent after it had an answer behind which the daemon had read the word.
+No result depends on time: a request counts if its client sent it after an answer that shows that the daemon had read the notice.
 """
 import asyncio
 import time
@@ -17,20 +17,20 @@
 
 from small_fleet import PLAIN_CONFIGURATION, PlainUpstream, SmallFleet
 
-DEADLINE_MS = 60_000  # requests are not given up on a slow machine
+DEADLINE_MS = 60_000  # long enough that no request times out on a slow machine
 LONG = 1_000  # seconds; longer than a test
 SHORT = 2.5  # seconds
-BURST = 20  # requests to each daemon at a time
-# Attempts of calls that may not run twice are not given up while they wait, so that every answer is read.
+BURST = 20  # requests to each daemon at once
+# Waiting attempts of non-idempotent calls are not abandoned, so that every answer is read.
 CONFIGURATION = {**PLAIN_CONFIGURATION, "routes": [
     {**PLAIN_CONFIGURATION["routes"][0], "kind": "non_idempotent", "timeoutMs": DEADLINE_MS}]}
 
 
-class TellingUpstream(PlainUpstream):
+class NotifyingUpstream(PlainUpstream):
     def __init__(self, fleet, name, region):
         super().__init__(fleet, name, region)
         self.leaving = False
-        self.backoff = None  # seconds that it asks for
+        self.backoff = None  # requested backoff in seconds
         self.arrivals = 0
 
     async def serve(self, request):
@@ -57,21 +57,21 @@
     upstreams_in_region = 3
 
     async def begin_upstreams(self):
-        self.words = {}  # attempt: names of the upstreams that said something in answer to it
-        self.told = set()  # (life of a daemon, upstream)
-        self.told_before = {}  # attempt: the same, when it was sent, for the daemon that got it
-        self.past = []  # requests that reached an upstream all the same
-        self.upstreams = [TellingUpstream(self, f"a-{region}-{number}", region) for region in sorted(set(self.regions))
+        self.words = {}  # attempt: names of the upstreams whose answers to it held a notice
+        self.told = set()  # (incarnation of a daemon, upstream)
+        self.told_before = {}  # attempt: upstreams whose notices its daemon knew when it was sent
+        self.violations = []  # requests that reached an upstream in spite of its notice
+        self.upstreams = [NotifyingUpstream(self, f"a-{region}-{number}", region) for region in sorted(set(self.regions))
                           for number in range(self.upstreams_in_region)]
         for upstream in self.upstreams:
             await upstream.begin()
 
     def arrived(self, attempt, upstream):
         if upstream.name in self.told_before.get(attempt, ()):
-            self.past.append((attempt, upstream.name))
+            self.violations.append((attempt, upstream.name))
 
     async def call(self, daemon):
-        """One request; what its daemon has read in answer to it is known from then on."""
+        """Sends one request, and records the notices that its daemon has read with the answers."""
         life = daemon.life_id()
         attempt = f"a{self.attempts + 1}"
         self.told_before[attempt] = {name for told, name in self.told if told == life}
@@ -87,26 +87,26 @@
         return [status for status, _ in
                 await asyncio.gather(*(self.call(daemon) for daemon in daemons or self.daemons for _ in range(BURST)))]
 
-    async def tell_all(self, upstreams):
-        """Until every daemon has been told by each of them."""
-        async def everybody():
+    async def notify_all(self, upstreams):
+        """Sends requests until every daemon has a notice from each of the upstreams."""
+        async def all_notified():
             await self.burst()
             return all((daemon.life_id(), upstream.name) in self.told for daemon in self.daemons for upstream in upstreams)
 
-        await self.eventually(everybody)
+        await self.eventually(all_notified)
 
     def check(self):
-        self.assertEqual(self.past, [])
+        self.assertEqual(self.violations, [])
 
 
 class OneRegion(NoticeFleet):
     regions = ("north",) * 8
 
-    async def test_upstreams_that_say_they_leave_get_nothing_over_daemons_killed_in_series(self):
+    async def test_leaving_upstreams_get_no_requests_while_daemons_are_killed_one_after_another(self):
         leaving = self.upstreams[:2]
         for upstream in leaving:
             upstream.leaving = True
-        await self.tell_all(leaving)
+        await self.notify_all(leaving)
         for daemon in self.daemons:
             await daemon.kill()
             await daemon.start()
@@ -114,18 +114,18 @@
             self.assertEqual(set(await self.burst()), {200})
         self.check()
 
-    async def test_upstreams_that_say_they_leave_get_nothing_over_a_store_that_is_away_and_an_older_record(self):
+    async def test_leaving_upstreams_get_no_requests_during_a_store_outage_and_after_an_older_record(self):
         leaving = self.upstreams[:2]
         self.store.down = True
         for upstream in leaving:
             upstream.leaving = True
-        await self.tell_all(leaving)
+        await self.notify_all(leaving)
         await self.burst()
         self.store.down = False
         for upstream in leaving:
             upstream.record("ready")
         await self.burst()
-        for upstream in leaving:  # the entries lapse, and come back
+        for upstream in leaving:  # the entries expire and are written again
             text = self.store.items[f"servers/{upstream.name}"][0]
             self.store.remove(f"servers/{upstream.name}")
             await asyncio.sleep(1)
@@ -134,11 +134,11 @@
         self.assertEqual(set(await self.burst()), {200})
         self.check()
 
-    async def test_upstreams_that_ask_for_time_get_nothing_and_the_third_serves_all(self):
+    async def test_upstreams_in_backoff_get_no_requests_and_the_third_serves_all(self):
         asking = self.upstreams[:2]
         for upstream in asking:
             upstream.backoff = LONG
-        await self.tell_all(asking)
+        await self.notify_all(asking)
         for daemon in self.daemons[:3]:
             await daemon.kill()
             await daemon.start()
@@ -148,27 +148,27 @@
         self.assertEqual(set(await self.burst(self.daemons[3:])), {200})
         self.check()
 
-    async def test_upstreams_whose_time_is_over_are_asked_again(self):
+    async def test_upstreams_get_requests_again_after_their_backoff(self):
         for upstream in self.upstreams:
             upstream.backoff = SHORT
-        await self.tell_all(self.upstreams)
+        await self.notify_all(self.upstreams)
         for upstream in self.upstreams:
             upstream.backoff = None
         self.told.clear()
 
-        async def asked_again():
+        async def got_requests_again():
             before = [upstream.arrivals for upstream in self.upstreams]
             await self.burst()
             return all(upstream.arrivals > had for upstream, had in zip(self.upstreams, before))
 
-        await self.eventually(asked_again)
+        await self.eventually(got_requests_again)
 
 
 class TwoRegions(NoticeFleet):
     regions = ("north", "north", "south", "south")
     upstreams_in_region = 2
 
-    async def test_a_region_whose_upstreams_all_ask_for_time_has_its_requests_served_in_the_other(self):
+    async def test_requests_of_a_region_whose_upstreams_are_all_in_backoff_are_served_in_the_other(self):
         north = [upstream for upstream in self.upstreams if upstream.region == "north"]
         for upstream in north:
             upstream.backoff = LONG
@@ -180,7 +180,7 @@
         await self.eventually(served)
         self.check()
 
-    async def test_a_service_whose_upstreams_all_ask_for_time_refuses_at_once_and_says_when(self):
+    async def test_a_service_whose_upstreams_are_all_in_backoff_refuses_at_once_with_retry_after(self):
         for upstream in self.upstreams:
             upstream.backoff = LONG
 
@@ -194,7 +194,7 @@
         status, headers = await self.call(self.daemons[0])
         self.assertEqual(status, 503)
         self.assertGreater(float(headers["Retry-After"]), 5)
-        self.assertLess(time.monotonic() - began, DEADLINE_MS / 2_000, "it waited for what was known not to come")
+        self.assertLess(time.monotonic() - began, DEADLINE_MS / 2_000, "the request waited for upstreams that had all asked for a backoff")
 
 
 if __name__ == "__main__":
