--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -22,7 +22,7 @@
     async def run(self):
         while not self.soak.ending:
             await asyncio.sleep(self.soak.random.expovariate(self.soak.rate))
-            daemons = [daemon for daemon in self.soak.frequented or self.soak.daemons if daemon.life > 0]
+            daemons = [daemon for daemon in self.soak.preferred_daemons or self.soak.daemons if daemon.incarnation > 0]
             await self.ask(self.soak.random.choice(daemons), self.soak.random.choice(self.routes()))
         for session in self.sessions.values():
             await session.close()
@@ -36,10 +36,10 @@
         """Sends one attempt; returns whether it succeeded."""
         soak = self.soak
         attempt = soak.next_attempt()
-        soak.checks.sending(attempt, route, daemon)
+        soak.checks.record_sent(attempt, route, daemon)
         deadline = LONG_DEADLINE if route["name"] == "long" else DEADLINE
-        life = daemon.life_id()
-        newest = soak.checks.highest.get(life, 0)
+        incarnation = daemon.incarnation_id()
+        newest = soak.checks.highest.get(incarnation, 0)
         session = self.sessions.get(daemon.name)
         if session is None:
             session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=1), auto_decompress=False)
@@ -61,15 +61,15 @@
                     async for chunk in answer.content.iter_any():
                         body += chunk
                 except aiohttp.ClientPayloadError:
-                    soak.checks.broke_off(attempt, "torn")
+                    soak.checks.answer_aborted(attempt, "torn")
                     if route["kind"] == "stream":
-                        soak.checks.torn_stream(attempt, bytes(body))
+                        soak.checks.check_partial_stream(attempt, bytes(body))
                     return False
-                soak.checks.answered(attempt, route, life, newest, answer.status, answer.headers, bytes(body))
+                soak.checks.answered(attempt, route, incarnation, newest, answer.status, answer.headers, bytes(body))
                 return answer.status == 200
         except asyncio.TimeoutError:
             soak.checks.tally["left" if abandons else "deadline"] += 1
             return False
         except (aiohttp.ClientError, OSError) as error:
-            soak.checks.broke_off(attempt, type(error).__name__)
+            soak.checks.answer_aborted(attempt, type(error).__name__)
             return False
--- a/tests/soak/crashing_requests_tests.py
+++ b/tests/soak/crashing_requests_tests.py
@@ -3,10 +3,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """A request that crashes each upstream that begins to run it. Usage: crashing_requests_tests.py PROGRAM
 
-Guards against one request that crashes engine after engine, which makes most short requests of their regions be refused for a
-quarter of a minute at a time. Its caller sends the same path and body to any daemon again, each time as a new attempt with a new id;
-a daemon that remembers a request only for one attempt sends it to an engine, and after the crash to a second one. 27 engines ended
-this way, each 48 to 82 ms after the request had begun to run.
+Guards against one request that crashes engine after engine, while most short requests of their regions are refused for a quarter of
+a minute at a time. Its caller sends the same path and body to any daemon again, each time as a new attempt with a new id. If
+daemons remember a request only for one attempt, each attempt crashes one engine and then a second one. 27 engines ended this way,
+each 48 to 82 ms after the request had begun to run.
 """
 import asyncio
 import time
@@ -38,13 +38,13 @@
 
     def __init__(self, fleet, name, region):
         self.fleet, self.name, self.region = fleet, name, region
-        self.life = 0
+        self.incarnation = 0
         self.port = 0
         self.transports = set()
         self.site = None
 
     async def begin(self):
-        self.life += 1
+        self.incarnation += 1
         app = web.Application()
         app.router.add_route("*", "/{tail:.*}", self.serve)
         self.runner = web.AppRunner(app, access_log=None)
@@ -57,7 +57,7 @@
             "state": "ready", "coldRemainingMs": 0, "sequence": 1})
 
     def id(self):
-        return f"{self.name}-{self.life}"
+        return f"{self.name}-{self.incarnation}"
 
     async def end(self):
         """Acts as a crashed process: the port is closed, all connections are reset, and the record remains for a while."""
@@ -139,7 +139,7 @@
         await self.eventually(self.all_serve)
         before = len(self.crashes)
         await self.send_bad_request_for(CONTACT)
-        self.assertLessEqual(len(self.crashes) - before, RETRIES_ALLOWED, "the quarantine did not survive the restart of all daemons")
+        self.assertLessEqual(len(self.crashes) - before, RETRIES_ALLOWED, "the restart of all daemons lost the quarantine")
 
     async def test_other_requests_of_the_same_path_are_served(self):
         await self.send_bad_request_for(CONTACT)
@@ -156,7 +156,7 @@
         self.assertGreater(len(self.crashes), before)
 
     async def test_harmless_repeated_request_is_served_after_upstreams_crashed_while_running_it(self):
-        """Sends one body repeatedly, as a monitor does; since the request completed before, it is not the cause of the crashes."""
+        """Sends one body repeatedly, as a monitor does; it completed before, so it does not cause the crashes."""
         await self.eventually(lambda: self.served(GOOD))
         for upstream in self.upstreams[:3] + self.upstreams[3:]:
             requests = [asyncio.create_task(self.ask(daemon, GOOD)) for daemon in self.daemons for _ in range(4)]
--- a/tests/soak/daemons.py
+++ b/tests/soak/daemons.py
@@ -20,15 +20,15 @@
         self.store_proxy = None
         self.entry_proxy = None
         self.process = None
-        self.life = 0
+        self.incarnation = 0
         self.paused = False
         self.disturbed_at = 0.0  # time of the last pause or resumption
         self.stop_ordered = None  # time of the last order to stop
         self.watcher = None
         self.log = open(os.path.join(soak.directory, name + ".log"), "ab")
 
-    def life_id(self):
-        return f"{self.name}/{self.life}"
+    def incarnation_id(self):
+        return f"{self.name}/{self.incarnation}"
 
     def address(self, part):
         return f"{self.host}:{self.ports[part]}"
@@ -52,7 +52,7 @@
         return path
 
     async def start(self):
-        self.life += 1
+        self.incarnation += 1
         path = self.write_settings()
         self.process = await asyncio.create_subprocess_exec(
             self.soak.program, "--platform", env={**os.environ, "PORTPADDLE_NODE_FILE": path},
@@ -70,7 +70,7 @@
         if self.running():
             self.process.send_signal(number)
 
-    def minds(self, number):
+    def handles_signal(self, number):
         """Returns whether the process catches, blocks or ignores a signal."""
         if not self.running():
             return False
@@ -114,14 +114,14 @@
     """Returns ports below the ephemeral range, so that no outgoing connection occupies one when a daemon restarts."""
     with open("/proc/sys/net/ipv4/ip_local_port_range") as file:
         below = int(file.read().split()[0])
-    found = []
+    chosen = []
     for port in range(below - 1, below - 1000, -1):
-        if len(found) == count:
+        if len(chosen) == count:
             break
         with socket.socket() as probe:
             try:
                 probe.bind((host, port))
             except OSError:
                 continue
-            found.append(port)
-    return found
+            chosen.append(port)
+    return chosen
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,31 +1,31 @@
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""The seeded schedule of faults: several overlap, each is healed by itself."""
+"""The seeded schedule of faults, which may overlap; each fault ends on its own."""
 import asyncio
 import signal
 from collections import Counter
 
-GAP = 0.5  # mean seconds between two faults
-LONGEST = 3.0  # seconds that one lasts
-SERIES = 4  # times that daemons are killed in a row
-BETWEEN_KILLS = 1.5  # seconds; a daemon serves again after some tenths of one
+MEAN_INTERVAL = 0.5  # mean seconds between two faults
+MAX_DURATION = 3.0  # longest duration of a fault in seconds
+KILLS_IN_SERIES = 4  # consecutive kills of daemons
+KILL_INTERVAL = 1.5  # seconds; a daemon serves again some tenths of a second after a restart
 
 
-# Work that must not cost a request.
+# Planned work, which must not lose a request.
 PLANNED = ("stop", "hang_up", "configure", "storm", "upstream_leaves")
-# What presses on the budget of repeats: failing services, and daemons that forget, miss or hold up what was spent, or take over the
-# callers of others.
-PRESSING = ("spoil_service", "spoil_service", "move_callers", "stop_in_turn", "kill_in_series", "power_loss", "kill_many",
+# Faults that strain the retry budget: failing services, and daemons that lose, miss or delay reports of what was spent, or get
+# the callers of others.
+RETRY_FAULTS = ("spoil_service", "spoil_service", "move_callers", "stop_in_turn", "kill_in_series", "power_loss", "kill_many",
             "pause", "stop", "join", "store_cut", "store_down", "link_silent", "upstream_leaves")
-# What strikes while a service fails, after a calm in which every daemon could save.
-STRIKES = ("power_loss", "kill_in_series", "kill_many", "move_callers", "stop_in_turn", "link_silent")
+# Faults during the failure of a service, after a calm period in which every daemon could save what was spent.
+FAULTS_DURING_FAILURE = ("power_loss", "kill_in_series", "kill_many", "move_callers", "stop_in_turn", "link_silent")
 CALM = (9.0, 13.0)  # seconds without a fault, at least and at most
-FAILURES = 4.0  # a third of the seconds for which the service fails then
-# What presses on the limits that upstreams name: daemons that forget, miss or hold up, and upstreams that start again.
-LIMITING = ("name_limit", "name_limit", "name_limit", "name_limit", "kill_in_series", "power_loss", "kill", "kill_many", "pause", "stop",
+FAILURE_SECONDS = 4.0  # seconds; the service fails for three times as long
+# Faults that strain announced limits: daemons that lose, miss or delay reports, and upstreams that restart.
+LIMIT_FAULTS = ("name_limit", "name_limit", "name_limit", "name_limit", "kill_in_series", "power_loss", "kill", "kill_many", "pause", "stop",
             "join", "store_cut", "store_down", "link_silent", "link_delay", "upstream_crash", "spoil")
-# What presses on what upstreams say of themselves: daemons that forget or hold up, and a store that tells late or an older record.
-TELLING = ("tell_leaving", "tell_leaving", "tell_leaving", "ask_for_time", "ask_for_time", "ask_for_time", "kill_in_series", "power_loss",
+# Faults that strain notices of upstreams: daemons that lose or delay them, and a store with late or older records.
+NOTICE_FAULTS = ("tell_leaving", "tell_leaving", "tell_leaving", "ask_for_time", "ask_for_time", "ask_for_time", "kill_in_series", "power_loss",
            "kill", "pause", "stop", "hang_up", "join", "move_callers", "store_away", "store_cut", "store_down", "forget", "link_silent",
            "link_delay", "upstream_crash", "spoil", "evacuate")
 
@@ -44,39 +44,39 @@
         if soak.planned_only:
             self.kinds = [kind for kind in self.kinds if kind.__name__ in PLANNED]
         if soak.options.press:
-            self.kinds = [getattr(self, name) for name in PRESSING]
+            self.kinds = [getattr(self, name) for name in RETRY_FAULTS]
         if soak.options.limits:
-            self.kinds = [getattr(self, name) for name in LIMITING]
+            self.kinds = [getattr(self, name) for name in LIMIT_FAULTS]
         if soak.options.notices:
-            self.kinds = [getattr(self, name) for name in TELLING]
+            self.kinds = [getattr(self, name) for name in NOTICE_FAULTS]
 
     async def run(self, seconds):
         end = self.soak.now() + seconds
         while self.soak.now() < end:
             until = end
             if self.soak.options.press:
-                await self.strike_after_calm()
+                await self.inject_after_calm()
                 until = min(end, self.soak.now() + self.random.uniform(*CALM))
             while self.soak.now() < until:
-                await asyncio.sleep(self.random.expovariate(1 / GAP))
+                await asyncio.sleep(self.random.expovariate(1 / MEAN_INTERVAL))
                 self.begin(self.random.choice(self.kinds))
 
     def begin(self, kind, lasts=None):
         self.counts[kind.__name__] += 1
-        lasts = lasts or self.random.uniform(0.2, LONGEST)
+        lasts = lasts or self.random.uniform(0.2, MAX_DURATION)
         if kind not in (self.configure, self.upstream_leaves, self.evacuate, self.name_limit):
             self.soak.disturb(lasts + (6 if kind == self.store_away else 1))
         self.tasks.append(asyncio.create_task(kind(lasts)))
 
-    async def strike_after_calm(self):
+    async def inject_after_calm(self):
         await self.heal()
         await asyncio.sleep(self.random.uniform(*CALM))
-        self.begin(self.spoil_service, FAILURES)
+        self.begin(self.spoil_service, FAILURE_SECONDS)
         await asyncio.sleep(self.random.uniform(0.3, 3))
-        self.begin(getattr(self, self.random.choice(STRIKES)))
+        self.begin(getattr(self, self.random.choice(FAULTS_DURING_FAILURE)))
 
     async def heal(self):
-        """Waits for all that is in force to end."""
+        """Waits until all faults have ended."""
         await asyncio.gather(*self.tasks)
 
     def daemon(self):
@@ -109,11 +109,11 @@
         await asyncio.gather(*(self.restart(daemon, daemon.kill) for daemon in chosen))
 
     async def kill_in_series(self, lasts):
-        self.soak.disturb(SERIES * BETWEEN_KILLS)
-        for _ in range(SERIES):
+        self.soak.disturb(KILLS_IN_SERIES * KILL_INTERVAL)
+        for _ in range(KILLS_IN_SERIES):
             chosen = self.random.sample(self.soak.daemons, max(1, len(self.soak.daemons) * 6 // 10))
             await asyncio.gather(*(self.restart(daemon, daemon.kill) for daemon in chosen))
-            await asyncio.sleep(BETWEEN_KILLS)
+            await asyncio.sleep(KILL_INTERVAL)
 
     async def power_loss(self, lasts):
         async def lose(daemon):
@@ -123,7 +123,7 @@
         await asyncio.gather(*(self.restart(daemon, lambda daemon=daemon: lose(daemon)) for daemon in list(self.soak.daemons)))
 
     async def stop_in_turn(self, lasts):
-        """Orders to stop, one daemon after the other, without waiting for the one before."""
+        """Orders daemons to stop one after another, without waiting for the previous stop to end."""
         chosen = self.random.sample(self.soak.daemons, max(1, len(self.soak.daemons) // 2))
         self.soak.disturb(9 + len(chosen) * lasts / 4)
         stops = []
@@ -133,13 +133,13 @@
         await asyncio.gather(*stops)
 
     async def move_callers(self, lasts):
-        """All callers turn to some of the daemons, and later to the others."""
+        """Directs all callers to some of the daemons, and later to the others."""
         some = self.random.sample(self.soak.daemons, max(1, len(self.soak.daemons) // 3))
-        self.soak.frequented = some
+        self.soak.preferred_daemons = some
         await asyncio.sleep(2 * lasts)
-        self.soak.frequented = [daemon for daemon in self.soak.daemons if daemon not in some]
+        self.soak.preferred_daemons = [daemon for daemon in self.soak.daemons if daemon not in some]
         await asyncio.sleep(2 * lasts)
-        self.soak.frequented = None
+        self.soak.preferred_daemons = None
 
     async def join(self, lasts):
         await self.soak.add_spare()
@@ -151,8 +151,8 @@
 
     async def hang_up(self, lasts):
         daemon = self.daemon()
-        # Before its first instructions nothing can keep the signal from ending a process.
-        if daemon.minds(signal.SIGHUP):
+        # Until the process has installed its handlers, the signal would end it.
+        if daemon.handles_signal(signal.SIGHUP):
             daemon.send(signal.SIGHUP)
 
     # The store.
@@ -190,8 +190,8 @@
     def any_proxy(self):
         return self.random.choice([one.proxy for one in self.soak.upstreams] + [one.entry_proxy for one in self.soak.daemons])
 
-    async def until_bytes_pass(self, proxy, lasts):
-        """Until then @p proxy holds bytes back; what was under way arrives late."""
+    async def mark_disturbed_for(self, proxy, lasts):
+        """Waits while @p proxy withholds bytes, and marks it as disturbed, since bytes in flight arrive late."""
         end = self.soak.now() + lasts
         while self.soak.now() < end:
             proxy.disturbed_at = self.soak.now() + 0.1
@@ -200,7 +200,7 @@
     async def link_delay(self, lasts):
         proxy = self.any_proxy()
         proxy.delay = 0.05
-        await self.until_bytes_pass(proxy, lasts)
+        await self.mark_disturbed_for(proxy, lasts)
         proxy.delay = 0
 
     async def link_reset(self, lasts):
@@ -209,7 +209,7 @@
     async def link_silent(self, lasts):
         proxy = self.any_proxy()
         proxy.silent_up, proxy.silent_down = self.random.choice([(True, True), (True, False), (False, True)])
-        await self.until_bytes_pass(proxy, lasts)
+        await self.mark_disturbed_for(proxy, lasts)
         proxy.silent_up = proxy.silent_down = False
 
     async def entry_reset(self, lasts):
@@ -223,7 +223,7 @@
         upstream.mode = None
 
     async def spoil_service(self, lasts):
-        """Every upstream of a service fails, so that daemons make all the repeats that they may."""
+        """Makes every upstream of a service fail, so that daemons make as many retries as the budget allows."""
         service = self.random.choice(sorted({upstream.service for upstream in self.soak.upstreams}))
         upstreams = [upstream for upstream in self.soak.upstreams if upstream.service == service]
         mode = self.random.choice(["errors", "shed", "lost"])
@@ -242,41 +242,41 @@
 
     async def upstream_leaves(self, lasts, upstream=None):
         upstream = upstream or self.upstream()
-        life = upstream.id
+        incarnation = upstream.id
         upstream.register("draining")
         await asyncio.sleep(4.5)
-        if upstream.id == life:
-            self.soak.store.remove(f"servers/{life}")
+        if upstream.id == incarnation:
+            self.soak.store.remove(f"servers/{incarnation}")
             await asyncio.sleep(1)
-        if upstream.id == life:
+        if upstream.id == incarnation:
             await upstream.begin(upstream.host, None)
 
     async def tell_leaving(self, lasts):
-        """Only answers tell for a while, in which its entry may lapse and come back; then the store does."""
+        """Announces a leaving only in answers at first, while the store entry may expire and return; then in the store as well."""
         upstream = self.upstream()
-        life = upstream.id
-        if upstream.tells_leaving:
+        incarnation = upstream.id
+        if upstream.announces_leaving:
             return
-        upstream.tells_leaving = True
+        upstream.announces_leaving = True
         await asyncio.sleep(lasts)
-        if upstream.id == life and self.random.random() < 0.5:
-            self.soak.store.remove(f"servers/{life}")
+        if upstream.id == incarnation and self.random.random() < 0.5:
+            self.soak.store.remove(f"servers/{incarnation}")
             await asyncio.sleep(self.random.uniform(0.1, 1.5))
-            if upstream.id == life:
+            if upstream.id == incarnation:
                 upstream.register()
         await asyncio.sleep(2 * lasts)
-        if upstream.id == life:
+        if upstream.id == incarnation:
             await self.upstream_leaves(lasts, upstream)
 
     async def ask_for_time(self, lasts):
-        """One upstream, or all of a service, turn most requests away and want nothing from who sent them for a time."""
+        """Makes one upstream, or all of a service, refuse most requests and ask their daemons for a backoff."""
         one = self.upstream()
         upstreams = [one] if self.random.random() < 0.5 else [other for other in self.soak.upstreams if other.service == one.service]
         for upstream in upstreams:
-            upstream.asks_for = self.random.uniform(1, 5)
+            upstream.backoff = self.random.uniform(1, 5)
         await asyncio.sleep(3 * lasts)
         for upstream in upstreams:
-            upstream.asks_for = None
+            upstream.backoff = None
 
     async def store_away(self, lasts):
         self.soak.store.down = True
@@ -285,23 +285,23 @@
 
     async def upstream_vanishes(self, lasts):
         upstream = self.upstream()
-        life = upstream.id
-        self.soak.store.remove(f"servers/{life}")
+        incarnation = upstream.id
+        self.soak.store.remove(f"servers/{incarnation}")
         upstream.left_since = self.soak.now()
         await asyncio.sleep(4.5)
-        if upstream.id == life:
+        if upstream.id == incarnation:
             await upstream.begin(upstream.host, None)
 
     async def name_limit(self, lasts):
-        """Names a limit, changes it at times and ends it, unless the upstream's life ends first."""
+        """Announces a limit, may change it and ends it, unless the upstream's incarnation ends first."""
         upstream = self.upstream()
-        life = upstream.id
+        incarnation = upstream.id
         if upstream.limit is not None:
             return
         for _ in range(self.random.randint(1, 3)):
             upstream.name_limit(self.random.uniform(0.3, 6))
             await asyncio.sleep(self.random.uniform(6, 10))
-            if upstream.id != life:
+            if upstream.id != incarnation:
                 return
         upstream.name_limit(None)
 
--- a/tests/soak/limits.py
+++ b/tests/soak/limits.py
@@ -14,7 +14,7 @@
         self.arrivals = defaultdict(list)  # id of an upstream's incarnation: times of arrivals
         self.closest = (0.0, "none")  # the window with the highest share of the tolerated requests
 
-    def says(self, upstream, rate, now):
+    def announced(self, upstream, rate, now):
         self.announcements[upstream].append((now, rate))
 
     def arrived(self, upstream, now):
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -12,7 +12,7 @@
         self.silent_up = False
         self.silent_down = False
         self.refusing = False
-        self.disturbed_at = 0.0  # time of the soak's clock at which bytes were last withheld; set by the fault that withholds them
+        self.disturbed_at = 0.0  # time (soak clock) at which bytes were last withheld; set by the fault
         self.writers = set()
         self.port = 0
 
--- a/tests/soak/repeat_budget_tests.py
+++ b/tests/soak/repeat_budget_tests.py
@@ -4,7 +4,7 @@
 """Retries by all daemons together, across their restarts. Usage: repeat_budget_tests.py PROGRAM
 
 Guards against upstreams getting more retries than the budget of the system allows after many daemons start at once. This happens if
-each incarnation of a daemon begins with its whole share of the budget, whatever the previous incarnation spent a second earlier, and
+each incarnation of a daemon begins with its whole share of the budget, whatever the previous one spent a second earlier, and
 divides the budget by eight daemons until it knows how many there are.
 
 The window of the budget is an hour, so that a whole test lies in one window and no result depends on how long a step takes.
@@ -25,7 +25,7 @@
 
 
 class CountingUpstream(PlainUpstream):
-    """Fails or declines a request as its body says, and counts arrivals."""
+    """Fails or declines a request depending on its body, and counts arrivals."""
 
     async def serve(self, request):
         attempt = request.headers.get("Portpaddle-Attempt-Id", "")
--- a/tests/soak/small_fleet.py
+++ b/tests/soak/small_fleet.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""A few real daemons with a store, for tests whose verdict depends on no seed."""
+"""A few real daemons with a store, for tests whose result depends on no seed."""
 import asyncio
 import random
 import sys
@@ -16,11 +16,11 @@
 from store import Store
 
 PROGRAM = sys.argv.pop(1)
-HANG_BOUND = 60  # only to turn a hang into a failure
+HANG_BOUND = 60  # seconds until a hang fails
 DEADLINE_MS = 3_000
 
 
-# One service of plain upstreams, named "app".
+# A configuration with a single service of plain upstreams, "app".
 PLAIN_CONFIGURATION = {
     "version": 1, "limits": {},
     "routes": [{"name": "look", "host": "a.example", "pathPrefix": "/look/", "kind": "idempotent", "service": "app", "attempts": 2,
@@ -29,7 +29,7 @@
 
 
 class PlainUpstream:
-    """One of service "app"; subclasses say what it answers."""
+    """An upstream of service "app"; subclasses define its answers."""
 
     def __init__(self, fleet, name, region):
         self.fleet, self.name, self.region = fleet, name, region
@@ -39,7 +39,7 @@
         app.router.add_route("*", "/{tail:.*}", self.serve)
         self.runner = web.AppRunner(app, access_log=None)
         await self.runner.setup()
-        site = web.TCPSite(self.runner, self.fleet.host, 0, backlog=1024)  # all daemons connect at once
+        site = web.TCPSite(self.runner, self.fleet.host, 0, backlog=1024)  # backlog for all daemons connecting at once
         await site.start()
         port = site._server.sockets[0].getsockname()[1]
         self.fleet.store.write(f"servers/{self.name}", {
@@ -51,9 +51,9 @@
 
 
 class SmallFleet(unittest.IsolatedAsyncioTestCase):
-    """Subclasses say what the daemons are given, and what answers behind them."""
+    """Starts the daemons; subclasses define their configuration and the upstreams."""
 
-    regions = ("north",)  # of the daemons, one each
+    regions = ("north",)  # region of each daemon
     configuration = {}
     bounds = {}  # settings of the daemons that differ from those of the soak
 
@@ -66,7 +66,7 @@
         self.random = random.Random(1)
         self.tasks = []
         self.attempts = 0
-        self.refusals = []  # what requests were told that were refused
+        self.refusals = []  # bodies of 503 answers
         self.store = Store()
         self.store.random = random.Random(1)
         self.host = own_host(0)
@@ -97,21 +97,21 @@
         await self.store.runner.cleanup()
 
     async def restart_all(self):
-        """As after a loss of power: all at once."""
+        """Kills all daemons at once and starts them again, as after a power loss."""
         await asyncio.gather(*(daemon.kill() for daemon in self.daemons))
         await asyncio.gather(*(daemon.start() for daemon in self.daemons))
 
     async def eventually(self, condition):
         end = time.monotonic() + HANG_BOUND
         while not await condition():
-            self.assertLess(time.monotonic(), end, "never happened")
+            self.assertLess(time.monotonic(), end, "the condition did not become true")
             await asyncio.sleep(0.05)
 
     async def all_serve(self):
         raise NotImplementedError
 
     async def ask(self, daemon, path, body, more=()):
-        """Status, whether the answer came whole, headers and the id of the attempt."""
+        """Returns the status, whether the answer was complete, the headers and the id of the attempt."""
         self.attempts += 1
         attempt = f"a{self.attempts}"
         headers = {"Host": "a.example", "Portpaddle-Attempt-Id": attempt, "Portpaddle-Deadline-Remaining": str(DEADLINE_MS),
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,7 +1,7 @@
 #!/usr/bin/python3
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Runs real daemons on loopback under a seeded schedule of faults and checks what callers and upstreams see.
+"""Runs real daemons on loopback under a seeded schedule of faults and checks the observations of callers and upstreams.
 
 Usage: soak.py PROGRAM [--seed N] [--for SECONDS] [--daemons N] [--planned] [--press] [--limits] [--notices] [--no-timing]
     [--keep DIRECTORY]
@@ -26,16 +26,16 @@
 from upstreams import Upstream
 
 REGIONS = ("north", "south", "west")
-HANG_BOUND = 240  # only to turn a hang into a failure; a round of probes lasts as long as its longest stream, up to 11 s
+HANG_BOUND = 240  # seconds until a hang fails; a round of probes lasts as long as its longest stream, up to 11 s
 RECOVERY_PROBES = 60
-SPARES = 3  # daemons that may join while it runs
+SPARES = 3  # daemons that may join during the run
 
 
 class Soak:
     def __init__(self, options, directory):
         self.options = options
         self.program = options.program
-        self.bounds = {}  # of the daemons' settings, that differ from the usual ones
+        self.bounds = {}  # settings of the daemons that differ from the defaults
         self.directory = directory
         self.random = random.Random(options.seed)
         self.timing = options.timing
@@ -50,15 +50,15 @@
         self.ending = False
         self.expected_ends = set()
         self.faulty_until = 0.0
-        self.faulty_since = []
+        self.fault_periods = []
         self.attempts = 0
         self.version = 0
         self.routes = []
         self.extra = 0
         self.copies = 0
         self.joining = asyncio.Lock()
-        self.frequented = None  # the daemons that callers use, where not all
-        self.copy_of = {}  # what a request names to go on from: (attempt, address that holds the copy)
+        self.preferred_daemons = None  # the daemons that callers use; None for all
+        self.copy_of = {}  # handle by which a request resumes a run: (attempt, address of the copy)
 
     def now(self):
         return time.monotonic() - self.began
@@ -68,21 +68,21 @@
         return f"{self.options.seed:04x}{self.attempts:08x}"
 
     def calm_since(self, moment):
-        """No fault was in force at any time from @p moment on."""
-        return all(end < moment for _, end in self.faulty_since)
+        """Returns whether no fault was in force at any time from @p moment on."""
+        return all(end < moment for _, end in self.fault_periods)
 
     def disturb(self, seconds):
-        """Notes a fault that lasts so long from now."""
-        self.faulty_since.append((self.now(), self.now() + seconds))
+        """Records a fault that lasts for @p seconds from now."""
+        self.fault_periods.append((self.now(), self.now() + seconds))
 
-    def keep_copy(self, source, attempt, target):
-        """Notes a copy at @p target; gives its handle."""
+    def record_copy(self, source, attempt, target):
+        """Records a copy at @p target; returns its handle."""
         self.copies += 1
         self.copy_of[f"{source.host}:{source.proxy.port}/c{self.copies}"] = (attempt, target)
         return f"c{self.copies}"
 
-    def take_copy(self, handle, attempt, upstream):
-        """Whether @p upstream holds the copy of this very run; it serves once."""
+    def claim_copy(self, handle, attempt, upstream):
+        """Returns whether @p upstream holds the copy of this run, and removes the copy, which is valid once."""
         right = self.copy_of.pop(handle, None) == (attempt, f"{upstream.host}:{upstream.proxy.port}")
         self.checks.tally["went on" if right else "copy refused"] += 1
         return right
@@ -90,7 +90,7 @@
     def process_ended(self, daemon, process, status):
         if process.pid in self.expected_ends or self.ending:
             return
-        self.checks.fail("process", f"{daemon.life_id()} ended by itself with status {status}")
+        self.checks.fail("process", f"{daemon.incarnation_id()} ended unexpectedly with status {status}")
 
     # The operator's configuration.
     def configure(self, drop_extra=False):
@@ -119,11 +119,11 @@
                      "kind": "idempotent", "attempts": 2, "service": "app", "since": self.extra, **plain}
             routes.append(probe)
             self.routes.append(probe)
-        told = [{key: value for key, value in route.items() if key != "since"} for route in routes]
+        written_routes = [{key: value for key, value in route.items() if key != "since"} for route in routes]
         services = [{"name": "engines", "connectionLimit": 620, "coldStartS": 0, "coldPerS": 0,
                      "engine": {"kvCapacityTokens": 600_000, "stride": 1, "moves": True}},
                     {"name": "app", "connectionLimit": 100}, {"name": "app-b", "connectionLimit": 100}]
-        self.store.write("op/config", {"version": self.version, "routes": told, "services": services, "limits": {}})
+        self.store.write("op/config", {"version": self.version, "routes": written_routes, "services": services, "limits": {}})
 
     async def build(self):
         store_port = await self.store.start("127.0.0.1")
@@ -145,7 +145,7 @@
         host = own_host(index)
         ports = dict(zip(("entry", "readiness", "directory", "link"), free_ports(host, 4)))
         daemon = Daemon(self, f"d{index}", region, region + "-1", host, ports, self.store_port)
-        # Each daemon reaches the store from its own address, so that the store can turn single ones away.
+        # Each daemon connects to the store from its own address, so that the store can refuse single daemons.
         daemon.store_proxy = Proxy(("127.0.0.1", self.store_port), source=host)
         daemon.entry_proxy = Proxy((host, ports["entry"]))
         await daemon.store_proxy.start(host)
@@ -154,14 +154,14 @@
         return daemon
 
     async def add_spare(self):
-        """A daemon that joins the running fleet."""
-        async with self.joining:  # the next one takes the name and the ports after its
+        """Starts a daemon that joins the running fleet."""
+        async with self.joining:  # the next daemon gets the next name and the next ports
             if len(self.daemons) < self.options.daemons + SPARES:
                 daemon = await self.add_daemon()
                 await daemon.start()
 
     async def recovered(self):
-        """Whether every daemon serves every route again; bounded only against a hang."""
+        """Waits until every daemon serves every route again; reports those that do not within HANG_BOUND."""
         caller = Caller(self, -1)
         end = time.monotonic() + HANG_BOUND
         pending = [(daemon, route) for daemon in self.daemons for route in self.routes]
@@ -185,7 +185,7 @@
         self.ending = True
         await asyncio.wait(callers, timeout=HANG_BOUND)
         if self.timing:
-            self.checks.check_repeats()
+            self.checks.check_retries()
             self.checks.limits.check(self.checks.fail)
         await asyncio.gather(*(daemon.stop() for daemon in self.daemons))
         return faults
@@ -200,8 +200,8 @@
             print("FAILED", failure)
 
 
-def is_fault_of_ours(record):
-    """Connections that the soak resets are no news."""
+def is_unexpected_error(record):
+    """Filters out the logged errors of connections that the soak resets."""
     return not (record.exc_info and issubclass(record.exc_info[0], ConnectionResetError))
 
 
@@ -212,19 +212,19 @@
     parser.add_argument("--for", dest="seconds", type=float, default=20)
     parser.add_argument("--daemons", type=int, default=6)
     parser.add_argument("--callers", type=int, default=30)
-    parser.add_argument("--rate", type=float, default=120, help="requests a second in all")
-    parser.add_argument("--no-timing", dest="timing", action="store_false", help="leave out checks that depend on time")
-    parser.add_argument("--planned", action="store_true", help="only work that must not cost a request")
-    parser.add_argument("--press", action="store_true", help="only what presses on the budget of repeats")
-    parser.add_argument("--limits", action="store_true", help="only what presses on the limits that upstreams name")
-    parser.add_argument("--notices", action="store_true", help="only what presses on what upstreams say of themselves")
+    parser.add_argument("--rate", type=float, default=120, help="requests per second in total")
+    parser.add_argument("--no-timing", dest="timing", action="store_false", help="skip checks that depend on time")
+    parser.add_argument("--planned", action="store_true", help="only planned work, which must not lose a request")
+    parser.add_argument("--press", action="store_true", help="only faults that strain the retry budget")
+    parser.add_argument("--limits", action="store_true", help="only faults that strain announced limits")
+    parser.add_argument("--notices", action="store_true", help="only faults that strain notices of upstreams")
     parser.add_argument("--keep", help="directory for logs; kept only when a check fails")
     return parser.parse_args()
 
 
 def main():
     options = parse()
-    logging.getLogger("aiohttp.server").addFilter(is_fault_of_ours)
+    logging.getLogger("aiohttp.server").addFilter(is_unexpected_error)
     directory = tempfile.mkdtemp(prefix="portpaddle-soak-")
     soak = Soak(options, directory)
     try:
--- a/tests/soak/upstream_notices_tests.py
+++ b/tests/soak/upstream_notices_tests.py
@@ -42,7 +42,7 @@
         if self.leaving:
             head["Server-Leaving"] = "1"
         if self.leaving or self.backoff is not None:
-            self.fleet.words.setdefault(attempt, []).append(self.name)
+            self.fleet.notices.setdefault(attempt, []).append(self.name)
         if self.backoff is not None:
             return web.Response(status=503, headers={**head, "Portpaddle-Not-Executed": "1", "Retry-After": f"{self.backoff:g}"})
         return web.Response(headers={**head, "Portpaddle-Server-Seal": f"{self.name}.{attempt}"}, text="whole")
@@ -57,7 +57,7 @@
     upstreams_in_region = 3
 
     async def begin_upstreams(self):
-        self.words = {}  # attempt: names of the upstreams whose answers to it held a notice
+        self.notices = {}  # attempt: names of the upstreams whose answers to it held a notice
         self.told = set()  # (incarnation of a daemon, upstream)
         self.told_before = {}  # attempt: upstreams whose notices its daemon knew when it was sent
         self.violations = []  # requests that reached an upstream in spite of its notice
@@ -72,12 +72,12 @@
 
     async def call(self, daemon):
         """Sends one request, and records the notices that its daemon has read with the answers."""
-        life = daemon.life_id()
+        incarnation = daemon.incarnation_id()
         attempt = f"a{self.attempts + 1}"
-        self.told_before[attempt] = {name for told, name in self.told if told == life}
+        self.told_before[attempt] = {name for told, name in self.told if told == incarnation}
         status, _, headers, _ = await self.ask(daemon, "/look/x", b"", {"Portpaddle-Deadline-Remaining": str(DEADLINE_MS)})
         if status:
-            self.told |= {(life, name) for name in self.words.get(attempt, ())}
+            self.told |= {(incarnation, name) for name in self.notices.get(attempt, ())}
         return status, headers
 
     async def all_serve(self):
@@ -91,7 +91,7 @@
         """Sends requests until every daemon has a notice from each of the upstreams."""
         async def all_notified():
             await self.burst()
-            return all((daemon.life_id(), upstream.name) in self.told for daemon in self.daemons for upstream in upstreams)
+            return all((daemon.incarnation_id(), upstream.name) in self.told for daemon in self.daemons for upstream in upstreams)
 
         await self.eventually(all_notified)
 
@@ -194,7 +194,7 @@
         status, headers = await self.call(self.daemons[0])
         self.assertEqual(status, 503)
         self.assertGreater(float(headers["Retry-After"]), 5)
-        self.assertLess(time.monotonic() - began, DEADLINE_MS / 2_000, "the request waited for upstreams that had all asked for a backoff")
+        self.assertLess(time.monotonic() - began, DEADLINE_MS / 2_000, "the request waited for upstreams in backoff")
 
 
 if __name__ == "__main__":
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -1,17 +1,17 @@
 # SPDX-FileCopyrightText: 2026 portpaddle contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Upstreams that remember what they ran, and spoil answers on demand."""
+"""Upstreams that record the attempts they ran, and inject faults into answers on demand."""
 import asyncio
 import hashlib
 
 from aiohttp import web
 
-FULL = 64  # requests at once; more are declined unrun
-TURNED_AWAY = 0.9  # of what comes to an upstream that asks for time
+FULL = 64  # concurrent requests; more are declined without a run
+BACKOFF_SHARE = 0.9  # share of requests that an upstream in backoff refuses
 
 
 def whole_body(attempt, service):
-    """The answer to a plain request; clients compare it byte by byte."""
+    """Returns the answer to a plain request, which clients compare byte by byte."""
     return f"{service}:{attempt}:" + hashlib.sha256(attempt.encode()).hexdigest() * 8
 
 
@@ -20,7 +20,7 @@
 
 
 def pace(attempt, path):
-    """Seconds between two events; some streams of the route for long ones outlast a planned stop."""
+    """Returns the seconds between two events; some streams of the route "long" outlast a planned stop."""
     slow = path.startswith("/stream/long/") and int(hashlib.sha256(attempt.encode()).hexdigest()[4], 16) < 4
     return 0.4 if slow else 0.02
 
@@ -35,29 +35,29 @@
         self.service = service
         self.region = region
         self.data_centre = data_centre
-        self.life = 0
+        self.incarnation = 0
         self.name = name
         self.proxy = None
         self.running = 0
-        self.limit = None  # requests a second that it names
-        self.mode = None  # how answers are spoiled: errors, lost, torn, extra, shed, slow
-        self.asks_for = None  # seconds that it wants nothing from a daemon that it turns away
-        self.tells_leaving = False  # in its answers
-        self.left_since = None  # when its leaving was written
+        self.limit = None  # announced limit in requests per second
+        self.mode = None  # injected fault: errors, lost, torn, extra, shed, slow
+        self.backoff = None  # backoff in seconds that refusals request
+        self.announces_leaving = False  # whether answers carry the leaving notice
+        self.left_since = None  # time at which its leaving was written to the store
         self.transports = set()
-        self.stopped = {}  # attempt: (ordered to stop, has stopped), for each stream in progress
+        self.stopped = {}  # attempt in progress: (event of the order to stop, event of the stop)
         self.runner = None
 
     @property
     def id(self):
-        return f"{self.name}-{self.life}"
+        return f"{self.name}-{self.incarnation}"
 
     async def begin(self, host, proxy):
-        """A new life at the same address."""
-        self.life += 1
+        """Begins a new incarnation at the same address."""
+        self.incarnation += 1
         self.left_since = None
-        self.mode = self.asks_for = self.limit = None
-        self.tells_leaving = False
+        self.mode = self.backoff = self.limit = None
+        self.announces_leaving = False
         if self.runner is None:
             app = web.Application(client_max_size=8 << 20)
             app.router.add_route("*", "/{tail:.*}", self.serve)
@@ -73,16 +73,16 @@
 
     def register(self, state="ready"):
         if state != "ready":
-            self.tells_leaving = True
+            self.announces_leaving = True
             self.left_since = self.left_since or self.soak.now()
         self.soak.store.write(f"servers/{self.id}", {
             "service": self.service, "address": f"{self.host}:{self.proxy.port}", "zone": self.data_centre, "version": "v1",
-            "slots": FULL, "state": state, "coldRemainingMs": 0, "sequence": self.life})
+            "slots": FULL, "state": state, "coldRemainingMs": 0, "sequence": self.incarnation})
 
     def name_limit(self, rate):
-        """From now on; None ends it."""
+        """Announces a limit in requests per second from now on; None ends it."""
         self.limit = rate
-        self.soak.checks.limits.says(self.id, rate, self.soak.now())
+        self.soak.checks.limits.announced(self.id, rate, self.soak.now())
 
     def crash(self):
         for transport in list(self.transports):
@@ -97,29 +97,29 @@
             return await self.move(await request.json())
         attempt = request.headers.get("Portpaddle-Attempt-Id", "")
         expected = request.headers.get("Portpaddle-Expected-Instance")
-        goes_on_from = request.headers.get("Kv-From")
-        self.soak.checks.reached(self, attempt, goes_on_from is not None)
+        resume_handle = request.headers.get("Kv-From")
+        self.soak.checks.record_arrival(self, attempt, resume_handle is not None)
         head = {"Portpaddle-Attempt-Id": attempt, "Keep-Alive": "timeout=5"}
         if self.limit is not None:
             head["Server-Limit"] = f"{self.limit:.2f}"
-        if self.tells_leaving:
+        if self.announces_leaving:
             head["Server-Leaving"] = "1"
         if expected not in (None, self.id):
             return web.Response(status=421, headers={**head, "Portpaddle-Not-Executed": "1"})
         body = await request.read()
-        if goes_on_from is not None and not self.soak.take_copy(goes_on_from, attempt, self):
+        if resume_handle is not None and not self.soak.claim_copy(resume_handle, attempt, self):
             return web.Response(status=503, headers={**head, "Portpaddle-Not-Executed": "1"})
-        if goes_on_from is None:
+        if resume_handle is None:
             self.soak.checks.arrived(self, attempt, request, body)
-        if self.asks_for is not None and self.soak.random.random() < TURNED_AWAY:
-            self.soak.checks.notices.turned_away(self, attempt, self.asks_for, self.soak.now())
-            return web.Response(status=503, headers={**head, "Portpaddle-Not-Executed": "1", "Retry-After": f"{self.asks_for:.2f}"})
+        if self.backoff is not None and self.soak.random.random() < BACKOFF_SHARE:
+            self.soak.checks.notices.backoff_requested(self, attempt, self.backoff, self.soak.now())
+            return web.Response(status=503, headers={**head, "Portpaddle-Not-Executed": "1", "Retry-After": f"{self.backoff:.2f}"})
         if self.running >= FULL or self.mode == "shed":
             return web.Response(status=503, headers={**head, "Portpaddle-Not-Executed": "1"})
         self.running += 1
         self.transports.add(request.transport)
         try:
-            if goes_on_from is None:
+            if resume_handle is None:
                 self.soak.checks.ran(self, attempt)
             return await self.answer(request, attempt, head)
         finally:
@@ -152,28 +152,28 @@
         return answer
 
     async def move(self, order):
-        """Stops a run and has its memory copied to the upstream at the address that is named."""
+        """Stops a run and copies its memory to the upstream at the address in the order."""
         if order["id"] not in self.stopped or not order["last"]:
             return web.Response(status=404)
-        ordered, ended = self.stopped.pop(order["id"])
-        ordered.set()
+        stop_ordered, stream_stopped = self.stopped.pop(order["id"])
+        stop_ordered.set()
         try:
-            await asyncio.wait_for(ended.wait(), 1)
-        except asyncio.TimeoutError:  # it had come to its end
+            await asyncio.wait_for(stream_stopped.wait(), 1)
+        except asyncio.TimeoutError:  # the stream ended by itself before the order took effect
             return web.Response(status=404)
-        return web.json_response({"handle": self.soak.keep_copy(self, order["id"], order["targetVersion"]), "created": 0})
+        return web.json_response({"handle": self.soak.record_copy(self, order["id"], order["targetVersion"]), "created": 0})
 
     async def stream(self, request, attempt, head):
         answer = web.StreamResponse(headers={**head, "Content-Type": "text/event-stream"})
         await answer.prepare(request)
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
         last = stream_length(attempt)
-        ordered, ended = self.stopped[attempt] = (asyncio.Event(), asyncio.Event())
+        stop_ordered, stream_stopped = self.stopped[attempt] = (asyncio.Event(), asyncio.Event())
         for number in range(first, last + 1):
             await asyncio.sleep(pace(attempt, request.path))
-            if ordered.is_set():
+            if stop_ordered.is_set():
                 request.transport.close()
-                ended.set()
+                stream_stopped.set()
                 return answer
             text = event(attempt, number)
             if self.mode == "torn" and number > last // 2:
