--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -3,8 +3,8 @@
 """Checks the guarantees of the system against the observations of clients and upstreams."""
 from collections import Counter, defaultdict
 
-from limits import NamedLimits
-from notices import ToldNotices
+from limits import LimitChecks
+from notices import NoticeChecks
 from upstreams import event, stream_length, whole_body
 
 NOT_RUN_STATUSES = {408, 421, 429, 503}  # statuses that promise that the attempt has not run and will not run
@@ -32,8 +32,8 @@
         self.runs = Counter()
         self.refused = {}
         self.tally = Counter()
-        self.limits = NamedLimits()
-        self.notices = ToldNotices()
+        self.limits = LimitChecks()
+        self.notices = NoticeChecks()
         self.failures = []
         self.closest = (0.0, "none")  # the window with the highest share of the retry budget
         self.highest = {}  # daemon's incarnation: newest configuration seen in force
--- a/tests/soak/limits.py
+++ b/tests/soak/limits.py
@@ -8,7 +8,7 @@
 CONTACT = 5.0  # seconds after an announcement within which daemons may not know the limit yet
 
 
-class NamedLimits:
+class LimitChecks:
     def __init__(self):
         self.announcements = defaultdict(list)  # id of an upstream's incarnation: (time, requests per second or None), in order
         self.arrivals = defaultdict(list)  # id of an upstream's incarnation: times of arrivals
@@ -21,7 +21,7 @@
         if upstream in self.announcements:
             self.arrivals[upstream].append(now)
 
-    def _episodes(self, upstream):
+    def _limit_periods(self, upstream):
         """Yields (begin, end, announcements) of each period in which the upstream had a limit without a break."""
         announcements = self.announcements[upstream]
         first = None
@@ -40,7 +40,7 @@
     def check(self, fail):
         """Checks every window from CONTACT after an announcement until the limit ends."""
         for upstream in self.announcements:
-            for begin, end, announcements in self._episodes(upstream):
+            for begin, end, announcements in self._limit_periods(upstream):
                 times = [at for at in self.arrivals[upstream] if begin + CONTACT <= at < end]
                 for last in times:
                     got = sum(last - WINDOW < at <= last for at in times)
--- a/tests/soak/notices.py
+++ b/tests/soak/notices.py
@@ -11,40 +11,40 @@
 ALLOWED = 2  # requests tolerated within each backoff period
 
 
-class ToldNotices:
+class NoticeChecks:
     def __init__(self):
-        self.left = set()  # (daemon's incarnation, upstream's incarnation) of each leaving notice that reached a client
-        self.accepted_requests = {}  # attempt: (daemon, its incarnation, upstreams whose leaving it knew by then)
+        self.leaving = set()  # (daemon's incarnation, upstream's incarnation) of each leaving notice that reached a client
+        self.accepted = {}  # attempt: (daemon, its incarnation, upstreams whose leaving it knew by then)
         self.asked = defaultdict(list)  # (daemon's incarnation, upstream's incarnation): [answered, backoff end, arrivals]
         self.counts = Counter()
 
     def record_sent(self, attempt, daemon):
         incarnation = daemon.incarnation_id()
-        self.accepted_requests[attempt] = (daemon, incarnation, {upstream for told, upstream in self.left if told == incarnation})
+        self.accepted[attempt] = (daemon, incarnation, {upstream for notified, upstream in self.leaving if notified == incarnation})
 
     def record_forwarded(self, attempt, headers, upstreams):
         """Records the leaving notice of an answer that reached its client completely."""
-        if headers.get("Server-Leaving") != "1" or attempt not in self.accepted_requests:
+        if headers.get("Server-Leaving") != "1" or attempt not in self.accepted:
             return
-        daemon, incarnation, _ = self.accepted_requests[attempt]
+        daemon, incarnation, _ = self.accepted[attempt]
         sender = headers.get("Portpaddle-Server-Seal", "").rpartition(".")[0]
         for upstream in upstreams:
             if upstream.id == sender and upstream.region == daemon.region and daemon.incarnation_id() == incarnation:
-                self.left.add((incarnation, sender))
+                self.leaving.add((incarnation, sender))
                 self.counts["leavings passed on"] += 1
 
     def backoff_requested(self, upstream, attempt, asked, now):
-        daemon, incarnation, _ = self.accepted_requests.get(attempt, (None, None, None))
+        daemon, incarnation, _ = self.accepted.get(attempt, (None, None, None))
         if daemon is not None and daemon.region == upstream.region:
             self.asked[incarnation, upstream.id].append([now, now + asked, 0])
             self.counts["times asked for"] += 1
 
     def arrived(self, upstream, attempt, resumes, timing, now, fail):
         """Checks one arrival; @p resumes: the run was moved here with its memory, and may continue on an upstream that leaves."""
-        daemon, incarnation, told = self.accepted_requests.get(attempt, (None, None, ()))
+        daemon, incarnation, leaving = self.accepted.get(attempt, (None, None, ()))
         if daemon is None or daemon.region != upstream.region or daemon.incarnation_id() != incarnation:
             return
-        if upstream.id in told and not resumes:
+        if upstream.id in leaving and not resumes:
             fail("leaving", f"{attempt} reached {upstream.id}, whose leaving {incarnation} knew before it was sent")
         if timing:
             self._count(upstream, daemon, incarnation, now, fail)
--- a/tests/soak/upstream_notices_tests.py
+++ b/tests/soak/upstream_notices_tests.py
@@ -58,8 +58,8 @@
 
     async def begin_upstreams(self):
         self.notices = {}  # attempt: names of the upstreams whose answers to it held a notice
-        self.told = set()  # (incarnation of a daemon, upstream)
-        self.told_before = {}  # attempt: upstreams whose notices its daemon knew when it was sent
+        self.notified = set()  # (incarnation of a daemon, upstream)
+        self.notified_before = {}  # attempt: upstreams whose notices its daemon knew when it was sent
         self.violations = []  # requests that reached an upstream in spite of its notice
         self.upstreams = [NotifyingUpstream(self, f"a-{region}-{number}", region) for region in sorted(set(self.regions))
                           for number in range(self.upstreams_in_region)]
@@ -67,17 +67,17 @@
             await upstream.begin()
 
     def arrived(self, attempt, upstream):
-        if upstream.name in self.told_before.get(attempt, ()):
+        if upstream.name in self.notified_before.get(attempt, ()):
             self.violations.append((attempt, upstream.name))
 
     async def call(self, daemon):
         """Sends one request, and records the notices that its daemon has read with the answers."""
         incarnation = daemon.incarnation_id()
         attempt = f"a{self.attempts + 1}"
-        self.told_before[attempt] = {name for told, name in self.told if told == incarnation}
+        self.notified_before[attempt] = {name for notified, name in self.notified if notified == incarnation}
         status, _, headers, _ = await self.ask(daemon, "/look/x", b"", {"Portpaddle-Deadline-Remaining": str(DEADLINE_MS)})
         if status:
-            self.told |= {(incarnation, name) for name in self.notices.get(attempt, ())}
+            self.notified |= {(incarnation, name) for name in self.notices.get(attempt, ())}
         return status, headers
 
     async def all_serve(self):
@@ -91,7 +91,7 @@
         """Sends requests until every daemon has a notice from each of the upstreams."""
         async def all_notified():
             await self.burst()
-            return all((daemon.incarnation_id(), upstream.name) in self.told for daemon in self.daemons for upstream in upstreams)
+            return all((daemon.incarnation_id(), upstream.name) in self.notified for daemon in self.daemons for upstream in upstreams)
 
         await self.eventually(all_notified)
 
@@ -154,7 +154,7 @@
         await self.notify_all(self.upstreams)
         for upstream in self.upstreams:
             upstream.backoff = None
-        self.told.clear()
+        self.notified.clear()
 
         async def got_requests_again():
             before = [upstream.arrivals for upstream in self.upstreams]
