--- a/tests/soak/notices.py
+++ b/tests/soak/notices.py
@@ -41,10 +41,10 @@
 
     def arrived(self, upstream, attempt, resumes, timing, now, fail):
         """Checks one arrival; @p resumes: the run was moved here with its memory, and may continue on an upstream that leaves."""
-        daemon, incarnation, leaving = self.accepted.get(attempt, (None, None, ()))
+        daemon, incarnation, known_leaving = self.accepted.get(attempt, (None, None, ()))
         if daemon is None or daemon.region != upstream.region or daemon.incarnation_id() != incarnation:
             return
-        if upstream.id in leaving and not resumes:
+        if upstream.id in known_leaving and not resumes:
             fail("leaving", f"{attempt} reached {upstream.id}, whose leaving {incarnation} knew before it was sent")
         if timing:
             self._count(upstream, daemon, incarnation, now, fail)
