--- a/tests/gateway/organisation_limits_tests.cpp
+++ b/tests/gateway/organisation_limits_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Limits over all daemons, played in virtual time with the delays of real news.
+// Limits over all daemons, in virtual time with realistic delays of digests.
 
 #include "support/limit_scenario.h"
 
@@ -21,22 +21,22 @@
 
 constexpr double limits[] = { 36'000, 300'000, 4'000'000 };
 
-LimitOutcome playGathered(const LimitPlay &scenario)
+LimitOutcome playAggregated(const LimitPlay &scenario)
 {
     const OrganisationLimit limit{ LimitUnit::Tokens, scenario.perSecond, scenario.perSecond, 200 };
-    const auto way = gatheredLimits(scenario.daemons, limit, scenario.seed);
-    return play(scenario, *way);
+    const auto strategy = gatheredLimits(scenario.daemons, limit, scenario.seed);
+    return play(scenario, *strategy);
 }
 
 } // namespace
 
-TEST_CASE("Limits, every event fleet and size, admit no more in any window than the sheet bears")
+TEST_CASE("Limits, every event and fleet size, admit no more in any window than the limit and its tolerance")
 {
     for (const unsigned daemons : { 7U, 68U, 300U }) {
         for (const double perSecond : limits) {
             for (const LimitEvent event : everyLimitEvent) {
                 for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-                    const LimitOutcome outcome = playGathered({ event, daemons, perSecond, seed });
+                    const LimitOutcome outcome = playAggregated({ event, daemons, perSecond, seed });
                     CAPTURE(nameOf(event));
                     CAPTURE(daemons);
                     CAPTURE(perSecond);
@@ -48,23 +48,23 @@
     }
 }
 
-TEST_CASE("Limits, calm, refuse next to nothing below the limit but to the smallest organisations")
+TEST_CASE("Limits, calm fleet, refuse almost nothing below the limit except for the smallest organisations")
 {
     for (const unsigned daemons : { 7U, 68U, 300U }) {
         for (const std::uint64_t seed : { 1U, 2U, 3U }) {
             CAPTURE(daemons);
             CAPTURE(seed);
-            CHECK(playGathered({ LimitEvent::Calm, daemons, 4'000'000, seed }).refusedBelow < 0.01);
-            CHECK(playGathered({ LimitEvent::Calm, daemons, 300'000, seed }).refusedBelow < 0.01);
-            // Three requests a second, some of which are larger than what the limit admits in a second.
-            CHECK(playGathered({ LimitEvent::Calm, daemons, 36'000, seed }).refusedBelow < 0.12);
+            CHECK(playAggregated({ LimitEvent::Calm, daemons, 4'000'000, seed }).refusedBelow < 0.01);
+            CHECK(playAggregated({ LimitEvent::Calm, daemons, 300'000, seed }).refusedBelow < 0.01);
+            // Three requests per second, some of which are larger than the limit of one second.
+            CHECK(playAggregated({ LimitEvent::Calm, daemons, 36'000, seed }).refusedBelow < 0.12);
         }
     }
 }
 
 namespace {
 
-/// One of ten daemons, which hears nobody.
+/// One of ten daemons, which gets no digests.
 class LoneDaemonFixture
 {
 public:
@@ -72,16 +72,16 @@
     {
         shop.name = "shop";
         shop.limit = { LimitUnit::Tokens, 100'000, 100'000, 200 };
-        book.add(shop, {});
+        table.add(shop, {});
         limits.setFleet({ "north" }, 10);
-        limits.setOrganisations(book, now);
+        limits.setOrganisations(table, now);
     }
 
-    /// Units of 50 requests that are admitted, at once or @p apart.
-    double admitted(std::chrono::milliseconds apart = 0ms)
+    /// Returns the admitted units of 50 requests with @p interval between them.
+    double admitted(std::chrono::milliseconds interval = 0ms)
     {
         double units = 0;
-        for (int index = 0; index < 50; ++index, now += apart) {
+        for (int index = 0; index < 50; ++index, now += interval) {
             units += limits.admit(shop, 1'000, now, random) ? 0 : 1'000;
         }
         return units;
@@ -89,7 +89,7 @@
 
     SteadyTime now{ 1h };
     Organisation shop;
-    OrganisationTable book;
+    OrganisationTable table;
     SeededRandom random{ 5 };
     OrganisationLimits limits{ "d1", "north", [](std::uint32_t, SteadyTime) { return false; },
                                [](const std::string &, SteadyTime) { return false; } };
@@ -97,7 +97,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(LoneDaemonFixture, "Limits, daemon that has just started, admits its even part of the burst before news come")
+TEST_CASE_FIXTURE(LoneDaemonFixture,
+                  "Limits, daemon that has just started, admits its even share of the burst before digests arrive")
 {
     const double first = admitted();
     CHECK(first >= 10'000);
@@ -106,10 +107,10 @@
     CHECK(admitted() <= 11'000);
 }
 
-TEST_CASE_FIXTURE(LoneDaemonFixture, "Limits, daemon that loses its gatherer, goes on with the part that was asked of it")
+TEST_CASE_FIXTURE(LoneDaemonFixture, "Limits, daemon that loses its aggregator, continues with the share of its demand")
 {
     limits.takeGrants(std::vector<Wire::LimitGrant>{ { organisationKey("shop"), 1.0F, 0.5F } }, now);
-    // 50,000 units in a second of which the region may spend half: 25,000 a second.
+    // The region may admit half of 50,000 units per second: 25,000 per second.
     CHECK(admitted() == 50'000);
     now += 1'500ms;
     CHECK(admitted() <= 1'000);
@@ -118,7 +119,7 @@
     CHECK(later <= 30'000);
 }
 
-TEST_CASE("Limit news, more than digests have room for, all arrive in datagrams of the usual size")
+TEST_CASE("Limit digest, more entries than fit one datagram, all arrive in datagrams within the size bound")
 {
     Wire::LoadDigestT header;
     header.daemon = "a-daemon-with-a-rather-long-name-17";
@@ -128,11 +129,11 @@
     const std::vector<Wire::PlacedPart> parts(30);
     for (const std::size_t count : { 0U, 1U, 24U, 100U }) {
         std::vector<Wire::LoadDigestT> digests = splitIntoDigests(header, shares, parts);
-        LimitDigest news;
-        news.counts.resize(count);
-        news.grants.resize(count);
-        news.demands.resize(count);
-        attachLimits(digests, header, news);
+        LimitDigest limitDigest;
+        limitDigest.counts.resize(count);
+        limitDigest.grants.resize(count);
+        limitDigest.demands.resize(count);
+        attachLimits(digests, header, limitDigest);
         std::size_t counts = 0;
         std::size_t others = 0;
         for (std::size_t index = 0; index < digests.size(); ++index) {
@@ -156,9 +157,9 @@
     CHECK_FALSE(isOk(decodeDigest(encodeDigest(digest))));
 }
 
-TEST_CASE("Region limit, any counts of peers, are taken without harm to what others asked")
+TEST_CASE("Region limit, any counters of hostile peers, do not distort the demand of others")
 {
-    const RegionLimit::IsSilent nobody = [](const std::string &, SteadyTime) { return false; };
+    const RegionLimit::IsSilent neverSilent = [](const std::string &, SteadyTime) { return false; };
     SeededRandom random(11);
     RegionLimit limit;
     SteadyTime now{ 1h };
@@ -166,18 +167,18 @@
     DemandCounters honest;
     for (int round = 0; round < 200; ++round) {
         now += 100ms;
-        const auto any = [&random] { return static_cast<std::uint32_t>(random.next()) >> random.below(32); };
-        limit.recordCounters("hostile", { any(), any(), any() }, now);
+        const auto randomCounter = [&random] { return static_cast<std::uint32_t>(random.next()) >> random.below(32); };
+        limit.recordCounters("hostile", { randomCounter(), randomCounter(), randomCounter() }, now);
         limit.recordCounters("other", { 0xffffffffU, 0xffffffffU, static_cast<std::uint32_t>(round % 4) }, now);
         honest.askedUnits += 1'000;
         ++honest.askedRequests;
         limit.recordCounters("honest", honest, now);
-        CHECK(std::isfinite(limit.grant(nobody, now).fraction));
+        CHECK(std::isfinite(limit.grant(neverSilent, now).fraction));
         CHECK(limit.askedRate(now) >= 999);
     }
 }
 
-TEST_CASE("Limit, tokens that a caller claims without measure, count as much as one request may")
+TEST_CASE("Limit, excessive tokens claimed by a caller, count as the maximum of one request")
 {
     const OrganisationLimit limit{ LimitUnit::Tokens, 100'000, 100'000, 200 };
     CHECK(limit.costOf(4e9) <= 1e7);
--- a/tests/gateway/organisation_tests.cpp
+++ b/tests/gateway/organisation_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Who may ask: keys, the organisations that they prove, and what of them reaches upstreams and other daemons.
+// Authorisation by keys of organisations, and the headers that upstreams and other daemons get.
 
 #include "support/gateway_site.h"
 #include "support/scripted_upstream.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr const char *keyOfShop = "Authorization: Bearer key-of-shop\r\n";
+constexpr const char *shopKeyHeader = "Authorization: Bearer key-of-shop\r\n";
 
 Organisation organisation(const std::string &name)
 {
@@ -23,17 +23,17 @@
     return result;
 }
 
-/// A configuration with one organisation, "shop", and a public route besides.
+/// A configuration with one organisation, "shop", and an additional public route.
 class ShopFixture : public GatewaySite
 {
 public:
     ShopFixture() : upstream(echo)
     {
         addUpstream("u1", upstream.address());
-        Route open = routes.routes.front();
-        open.pathPrefix = "/open/";
-        open.isPublic = true;
-        routes.routes.push_back(open);
+        Route publicRoute = routes.routes.front();
+        publicRoute.pathPrefix = "/open/";
+        publicRoute.isPublic = true;
+        routes.routes.push_back(publicRoute);
         publishShop(organisation("shop"));
     }
 
@@ -45,7 +45,7 @@
         publishRoutes();
     }
 
-    /// What the upstream saw last under a lower-case name; empty where it was absent.
+    /// Returns the value of @p header (lower case) in the last request at the upstream; empty if absent.
     std::string seen(const std::string &header) const
     {
         const std::vector<SeenRequest> requests = upstream.seen();
@@ -59,27 +59,28 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ShopFixture, "Key, of an organisation, is not handed on and its organisation is named")
+TEST_CASE_FIXTURE(ShopFixture, "Key, valid, is removed and the organisation header is set")
 {
-    CHECK(ask("/plain/a", "id1", keyOfShop).status == 200);
+    CHECK(ask("/plain/a", "id1", shopKeyHeader).status == 200);
     CHECK(seen("x-organisation") == "shop");
     CHECK(seen("authorization").empty());
 }
 
-TEST_CASE_FIXTURE(ShopFixture, "Key, scheme in lower case, is taken")
+TEST_CASE_FIXTURE(ShopFixture, "Key, scheme in lower case, is accepted")
 {
     CHECK(ask("/plain/a", "id1", "authorization: bearer key-of-shop\r\n").status == 200);
 }
 
-TEST_CASE_FIXTURE(ShopFixture, "Organisation, named by the caller, is replaced by the key's")
+TEST_CASE_FIXTURE(ShopFixture, "Organisation, named by the caller, is replaced by that of the key")
 {
-    CHECK(ask("/plain/a", "id1", std::string(keyOfShop) + "X-Organisation: bank\r\nX-Portpaddle-Organisation: bank\r\n").status
-          == 200);
+    CHECK(
+        ask("/plain/a", "id1", std::string(shopKeyHeader) + "X-Organisation: bank\r\nX-Portpaddle-Organisation: bank\r\n").status
+        == 200);
     CHECK(seen("x-organisation") == "shop");
     CHECK(seen("x-portpaddle-organisation").empty());
 }
 
-TEST_CASE_FIXTURE(ShopFixture, "Key, unknown, missing or of another form, is answered with 401 and runs nowhere")
+TEST_CASE_FIXTURE(ShopFixture, "Key, unknown, missing or malformed, is answered with 401 and the request does not run")
 {
     const std::string tooLong(longestKey + 1, 'k');
     for (const std::string &header :
@@ -100,7 +101,7 @@
     CHECK(seen("authorization").empty());
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Configuration without organisations, any key, is served and the header passes")
+TEST_CASE_FIXTURE(GatewaySite, "Configuration without organisations, any key, is served and passes the header on")
 {
     ScriptedUpstream upstream(echo);
     addUpstream("u1", upstream.address());
@@ -115,17 +116,17 @@
     CHECK(site.ask("/nowhere/a", "id2").status == 503);
 }
 
-TEST_CASE_FIXTURE(ShopFixture, "Key taken away, connection that stays open, is answered with 401 on its next request")
+TEST_CASE_FIXTURE(ShopFixture, "Revoked key, connection that stays open, is answered with 401 on its next request")
 {
     RawCaller caller(address());
-    caller.send(request("/plain/a", "id1", keyOfShop));
+    caller.send(request("/plain/a", "id1", shopKeyHeader));
     CHECK(caller.receive().status == 200);
     publishShop(organisation("shop"), { "key-two" });
-    caller.send(request("/plain/a", "id2", keyOfShop));
+    caller.send(request("/plain/a", "id2", shopKeyHeader));
     CHECK(caller.receive().status == 401);
 }
 
-TEST_CASE_FIXTURE(ShopFixture, "Relayed request, vouched for by its daemon, is run for that organisation")
+TEST_CASE_FIXTURE(ShopFixture, "Relayed request, organisation named by the daemon, is run for that organisation")
 {
     CHECK(askAsDaemon("/plain/a", "id1", "X-Portpaddle-Organisation: shop\r\n").status == 200);
     CHECK(seen("x-organisation") == "shop");
@@ -134,36 +135,36 @@
 
 TEST_CASE_FIXTURE(ShopFixture, "Relayed request, with a key in place of an organisation, is refused as not run")
 {
-    const SeenAnswer answer = askAsDaemon("/plain/a", "id1", keyOfShop);
+    const SeenAnswer answer = askAsDaemon("/plain/a", "id1", shopKeyHeader);
     CHECK(answer.status == 503);
     CHECK(answer.head.find("X-Portpaddle-Outcome: not_run") != std::string::npos);
     CHECK(upstream.seen().empty());
 }
 
-TEST_CASE_FIXTURE(ShopFixture, "Organisation at home elsewhere, only an upstream of this region, does not run here")
+TEST_CASE_FIXTURE(ShopFixture, "Organisation with other home region, only an upstream of this region, does not run here")
 {
     Organisation shop = organisation("shop");
     shop.homeRegions = { "east" };
     publishShop(shop);
-    CHECK(ask("/plain/a", "id1", keyOfShop).status == 503);
+    CHECK(ask("/plain/a", "id1", shopKeyHeader).status == 503);
     CHECK(upstream.seen().empty());
 }
 
-TEST_CASE_FIXTURE(ShopFixture, "Organisation at home elsewhere, daemon there, is sent there without its key")
+TEST_CASE_FIXTURE(ShopFixture, "Organisation with other home region, daemon there, is relayed without its key")
 {
     ScriptedUpstream daemon(echo);
     addRemoteDaemon("e1", "east", daemon.address(), {});
     Organisation shop = organisation("shop");
     shop.homeRegions = { "east" };
     publishShop(shop);
-    CHECK(ask("/plain/a", "id1", keyOfShop).status == 200);
+    CHECK(ask("/plain/a", "id1", shopKeyHeader).status == 200);
     REQUIRE(daemon.seen().size() == 1);
     const auto headers = daemon.seen().front().headers;
     CHECK(headers.at("x-portpaddle-organisation") == "shop");
     CHECK_FALSE(headers.contains("authorization"));
 }
 
-TEST_CASE_FIXTURE(ShopFixture, "Homes of route and organisation, nothing in common, are refused at once")
+TEST_CASE_FIXTURE(ShopFixture, "Home regions of route and organisation, disjoint, are refused at once")
 {
     Organisation shop = organisation("shop");
     shop.homeRegions = { "east" };
@@ -171,21 +172,21 @@
         route.homeRegions = { "north" };
     }
     publishShop(shop);
-    const SeenAnswer answer = ask("/plain/a", "id1", keyOfShop);
+    const SeenAnswer answer = ask("/plain/a", "id1", shopKeyHeader);
     CHECK(answer.status == 503);
     CHECK(answer.body.find("no region may serve both") != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(ShopFixture, "Priority, of the organisation, goes before the route's")
+TEST_CASE_FIXTURE(ShopFixture, "Priority, of the organisation, overrides that of the route")
 {
     Organisation shop = organisation("shop");
     shop.priority = 2;
     publishShop(shop);
-    CHECK(ask("/plain/a", "id1", keyOfShop).status == 200);
+    CHECK(ask("/plain/a", "id1", shopKeyHeader).status == 200);
     CHECK(seen("x-priority") == "2");
 }
 
-TEST_CASE_FIXTURE(ShopFixture, "Limit, far beyond what is asked at once, is answered with 429 and a time to come back")
+TEST_CASE_FIXTURE(ShopFixture, "Limit, far exceeded by a burst, is answered with 429 and Retry-After")
 {
     Organisation shop = organisation("shop");
     shop.limit.perSecond = 0.001;
@@ -193,7 +194,7 @@
     publishShop(shop);
     unsigned refused = 0;
     for (int index = 0; index < 40; ++index) {
-        const SeenAnswer answer = ask("/plain/a", "id" + std::to_string(index), keyOfShop);
+        const SeenAnswer answer = ask("/plain/a", "id" + std::to_string(index), shopKeyHeader);
         if (answer.status == 429) {
             ++refused;
             CHECK(answer.head.find("Retry-After: ") != std::string::npos);
@@ -205,14 +206,14 @@
     CHECK(upstream.seen().size() == 40 - refused);
 }
 
-TEST_CASE("Organisations, bounds and doubled names or keys, are refused")
+TEST_CASE("Organisations, invalid keys and duplicate names or keys, are rejected")
 {
-    OrganisationTable book;
-    book.add(organisation("shop"), { "a", "b" });
-    CHECK_THROWS_AS(book.add(organisation("shop"), {}), std::invalid_argument);
-    CHECK_THROWS_AS(book.add(organisation("bank"), { "a" }), std::invalid_argument);
-    CHECK_THROWS_AS(book.add(organisation("mill"), { "" }), std::invalid_argument);
-    CHECK_THROWS_AS(book.add(organisation("fair"), { std::string(longestKey + 1, 'k') }), std::invalid_argument);
-    CHECK(book.findByAuthorization("Bearer b")->name == "shop");
-    CHECK(book.findByAuthorization("Bearer c") == nullptr);
+    OrganisationTable table;
+    table.add(organisation("shop"), { "a", "b" });
+    CHECK_THROWS_AS(table.add(organisation("shop"), {}), std::invalid_argument);
+    CHECK_THROWS_AS(table.add(organisation("bank"), { "a" }), std::invalid_argument);
+    CHECK_THROWS_AS(table.add(organisation("mill"), { "" }), std::invalid_argument);
+    CHECK_THROWS_AS(table.add(organisation("fair"), { std::string(longestKey + 1, 'k') }), std::invalid_argument);
+    CHECK(table.findByAuthorization("Bearer b")->name == "shop");
+    CHECK(table.findByAuthorization("Bearer c") == nullptr);
 }
--- a/tests/gateway/placement_tests.cpp
+++ b/tests/gateway/placement_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Where a request goes: the pure choice, and what it is told of load and memory.
+// Placement of requests: the decision itself, and the load and cache state that it uses.
 
 #include "portpaddle/base/system_clock.h"
 #include "portpaddle/gateway/fetch_offers.h"
@@ -39,18 +39,18 @@
         request.sharedTokens = 5'400;
         request.memoryTokens = 12'400;
         request.remainingTargetMs = 1'000;
-        away.tokensPerMs = 100;
-        away.distanceMs = 115;
+        otherRegion.tokensPerMs = 100;
+        otherRegion.distanceMs = 115;
     }
 
-    Placement placed()
+    Placement decidePlacement()
     {
         return place(request, engines, regions, PlacementWeights{}, random);
     }
 
     std::vector<UpstreamCandidate> engines;
     std::vector<RegionCandidate> regions;
-    RegionCandidate away;
+    RegionCandidate otherRegion;
     PlacementRequest request;
     SeededRandom random{ 3 };
 };
@@ -66,18 +66,18 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(PlacementFixture, "Placement, prompt partly kept by one engine, goes there despite a short queue")
+TEST_CASE_FIXTURE(PlacementFixture, "Placement, prompt partly cached by one engine, goes there despite a short queue")
 {
     engines[1].cachedTokens = 5'400;
     engines[1].pendingTokens[1] = 10'000;
-    CHECK(placed().index == 1);
+    CHECK(decidePlacement().index == 1);
 }
 
-TEST_CASE_FIXTURE(PlacementFixture, "Placement, queue that would miss the target, outweighs kept parts")
+TEST_CASE_FIXTURE(PlacementFixture, "Placement, queue that would miss the target, outweighs cached parts")
 {
     engines[1].cachedTokens = 5'400;
     engines[1].pendingTokens[1] = 150'000;
-    CHECK(placed().index == 0);
+    CHECK(decidePlacement().index == 0);
 }
 
 TEST_CASE_FIXTURE(PlacementFixture, "Placement, tokens of less urgent requests, do not delay an urgent one")
@@ -85,9 +85,9 @@
     engines[0].pendingTokens = { 0, 50'000, 50'000 };
     engines[1].pendingTokens = { 20'000, 0, 0 };
     request.urgency = Urgency::Urgent;
-    CHECK(placed().index == 0);
+    CHECK(decidePlacement().index == 0);
     request.urgency = Urgency::Late;
-    CHECK(placed().index == 1);
+    CHECK(decidePlacement().index == 1);
 }
 
 TEST_CASE_FIXTURE(PlacementFixture, "Placement, target missed everywhere, makes the request late")
@@ -95,82 +95,82 @@
     for (UpstreamCandidate &engine : engines) {
         engine.pendingTokens[1] = 400'000;
     }
-    CHECK(placed().verdict == Verdict::Serve);
-    CHECK(placed().urgency == Urgency::Late);
+    CHECK(decidePlacement().verdict == Verdict::Serve);
+    CHECK(decidePlacement().urgency == Urgency::Late);
 }
 
-TEST_CASE_FIXTURE(PlacementFixture, "Placement, own region overloaded, sends away")
+TEST_CASE_FIXTURE(PlacementFixture, "Placement, own region overloaded, forwards to another region")
 {
-    regions.push_back(away);
-    CHECK(placed().verdict == Verdict::Serve);
+    regions.push_back(otherRegion);
+    CHECK(decidePlacement().verdict == Verdict::Serve);
     for (UpstreamCandidate &engine : engines) {
         engine.pendingTokens[1] = 200'000;
     }
-    CHECK(placed().verdict == Verdict::Forward);
+    CHECK(decidePlacement().verdict == Verdict::Forward);
 }
 
-TEST_CASE_FIXTURE(PlacementFixture, "Placement, all barred, refuses with the reason")
+TEST_CASE_FIXTURE(PlacementFixture, "Placement, all upstreams excluded, refuses with the reason")
 {
     for (UpstreamCandidate &engine : engines) {
         engine.exclusionReason = ExclusionReason::ShareSpent;
     }
-    CHECK(placed().verdict == Verdict::Refuse);
-    CHECK(placed().reason == ExclusionReason::ShareSpent);
+    CHECK(decidePlacement().verdict == Verdict::Refuse);
+    CHECK(decidePlacement().reason == ExclusionReason::ShareSpent);
 }
 
-TEST_CASE_FIXTURE(PlacementFixture, "Placement, first token later than its caller waits, refuses")
+TEST_CASE_FIXTURE(PlacementFixture, "Placement, first token predicted after the time-out of the caller, refuses")
 {
     for (UpstreamCandidate &engine : engines) {
         engine.pendingTokens[0] = 500'000;
     }
     request.firstTokenTimeoutMs = 4'000;
-    CHECK(placed().verdict == Verdict::Refuse);
-    CHECK(placed().reason == ExclusionReason::TooLate);
+    CHECK(decidePlacement().verdict == Verdict::Refuse);
+    CHECK(decidePlacement().reason == ExclusionReason::TooLate);
     request.firstTokenTimeoutMs = 40'000;
-    CHECK(placed().verdict == Verdict::Serve);
+    CHECK(decidePlacement().verdict == Verdict::Serve);
 }
 
-TEST_CASE_FIXTURE(PlacementFixture, "Placement, answer begun, is continued even where it will be late")
+TEST_CASE_FIXTURE(PlacementFixture, "Placement, answer already started, is continued even if it will be late")
 {
     request.firstTokenTimeoutMs = 0;
     request.completionTimeoutMs = 0;
-    CHECK(placed().verdict == Verdict::Refuse);
+    CHECK(decidePlacement().verdict == Verdict::Refuse);
     request.answerStarted = true;
-    CHECK(placed().verdict == Verdict::Serve);
+    CHECK(decidePlacement().verdict == Verdict::Serve);
 }
 
-TEST_CASE_FIXTURE(PlacementFixture, "Placement, tokens too slow for the deadline, takes the engine where they are faster")
+TEST_CASE_FIXTURE(PlacementFixture, "Placement, tokens too slow for the deadline at one engine, chooses the faster engine")
 {
     engines[0].tokenMs = 46;
     engines[1].tokenMs = 10;
     engines[1].pendingTokens[0] = 20'000;
     request.tokensOut = 300;
     request.completionTimeoutMs = 12'000;
-    CHECK(placed().index == 1);
+    CHECK(decidePlacement().index == 1);
     engines[1].tokenMs = 46;
-    CHECK(placed().reason == ExclusionReason::TooLate);
+    CHECK(decidePlacement().reason == ExclusionReason::TooLate);
 }
 
 TEST_CASE_FIXTURE(PlacementFixture,
-                  "Placement, parts kept by another engine of the data centre, are fetched instead of waited for")
+                  "Placement, parts cached by another engine of the data centre, are fetched instead of waited for")
 {
     engines[1].cachedTokens = 5'400;
     engines[1].pendingTokens[1] = 60'000;
     engines[0].fetchableTokens = 5'400;
     engines[0].fetchMs = 10;
-    const Placement placement = placed();
+    const Placement placement = decidePlacement();
     CHECK(placement.index == 0);
     CHECK(placement.fetches);
     CHECK(placement.keptTokens == 5'400);
 }
 
-TEST_CASE_FIXTURE(PlacementFixture, "Placement, engine busy with streams, gets long prompts last")
+TEST_CASE_FIXTURE(PlacementFixture, "Placement, engine busy with streams, is avoided by long prompts")
 {
     engines[0].running = 40;
-    CHECK(placed().index == 1);
+    CHECK(decidePlacement().index == 1);
 }
 
-TEST_CASE("Fetching, part kept in the data centre, is offered to the others there only")
+TEST_CASE("Fetching, part cached in a data centre, is offered only to other engines there")
 {
     ServiceSpec spec;
     spec.memoryBytesPerToken = 20'000;
@@ -190,12 +190,12 @@
     CHECK(engines[1].fetchableTokens == 5'000);
     CHECK(engines[1].fetchMs == doctest::Approx(10));
     CHECK(engines[2].fetchableTokens == 0);
-    // An engine that is gone has nothing to give.
+    // Nothing can be fetched from an engine that leaves.
     engines[0].exclusionReason = ExclusionReason::Leaving;
     CHECK(offerFetching(spec, engines, views).empty());
 }
 
-TEST_CASE("Urgency, more ranks than classes, makes the last ones patient")
+TEST_CASE("Urgency, more ranks than classes, is patient for the last ranks")
 {
     CHECK(urgencyOfRank(0) == Urgency::Urgent);
     CHECK(urgencyOfRank(1) == Urgency::Usual);
@@ -203,7 +203,7 @@
     CHECK(urgencyOfRank(7) == Urgency::Patient);
 }
 
-TEST_CASE("Upstream loads, events of a stream, show the time between tokens until they are old")
+TEST_CASE("Upstream loads, events of a stream, give the time between tokens until they expire")
 {
     UpstreamLoads loads;
     UpstreamRecord engine;
@@ -229,7 +229,7 @@
     }
 }
 
-TEST_CASE("Prefix memory, leading parts, count until one is missing")
+TEST_CASE("Prefix memory, leading parts, count up to the first missing one")
 {
     PrefixMemory memory;
     memory.note(1);
@@ -237,7 +237,7 @@
     CHECK(memory.keptTokens({ { 1, 100 }, { 2, 100 }, { 3, 100 } }, 1'000) == 100);
 }
 
-TEST_CASE("Prefix memory, parts read long ago, are taken as evicted")
+TEST_CASE("Prefix memory, parts read long ago, count as evicted")
 {
     PrefixMemory memory;
     memory.note(1);
@@ -246,7 +246,7 @@
     CHECK(memory.keptTokens({ { 1, 100 } }, 10'000) == 100);
 }
 
-TEST_CASE("Prefix memory, part that is used again, tells its age and is young again")
+TEST_CASE("Prefix memory, part that is used again, returns its age and has it reset")
 {
     PrefixMemory memory;
     CHECK(std::isinf(memory.note(1)));
@@ -258,33 +258,33 @@
 
 TEST_CASE("Loads, requests of other daemons, count until their digests stop")
 {
-    UpstreamLoads mine;
-    UpstreamLoads theirs;
+    UpstreamLoads ownLoads;
+    UpstreamLoads peerLoads;
     UpstreamRecord engine;
     engine.id = "e";
     FleetView view;
     view.upstreams["e"] = engine;
-    mine.keepOnly(view);
-    theirs.keepOnly(view);
+    ownLoads.keepOnly(view);
+    peerLoads.keepOnly(view);
     ServiceSpec spec;
     spec.memoryTokens = 650'000;
     const PromptFacts prompt = promptOf(5'000, 7'000, 11);
-    theirs.sent(engine, spec, prompt, Placement{}, now);
+    peerLoads.sent(engine, spec, prompt, Placement{}, now);
     Wire::LoadDigestT digest;
     digest.daemon = "other";
-    digest.upstreams = theirs.shares(now);
-    digest.placed = theirs.takePlaced(DigestReach::OwnRegion);
-    mine.applyDigest(digest, now);
-    const UpstreamCandidate seen = mine.describe(engine, spec, promptOf(5'000, 1, 11), now + 500ms);
+    digest.upstreams = peerLoads.shares(now);
+    digest.placed = peerLoads.takePlaced(DigestReach::OwnRegion);
+    ownLoads.applyDigest(digest, now);
+    const UpstreamCandidate seen = ownLoads.describe(engine, spec, promptOf(5'000, 1, 11), now + 500ms);
     CHECK(tokensAhead(seen, Urgency::Usual) == doctest::Approx(12'000).epsilon(64.0 / 12'000));
     CHECK(seen.running == 1);
     CHECK(seen.cachedTokens == 5'000);
-    CHECK(mine.describe(engine, spec, prompt, now + 5s).running == 0);
+    CHECK(ownLoads.describe(engine, spec, prompt, now + 5s).running == 0);
 }
 
 namespace {
 
-/// Two daemons that know one engine and tell each other.
+/// Two daemons with one common engine, of which the peer sends digests to the own one.
 class DigestFixture
 {
 public:
@@ -293,86 +293,86 @@
         engine.id = "e";
         FleetView view;
         view.upstreams["e"] = engine;
-        mine.keepOnly(view);
-        theirs.keepOnly(view);
+        ownLoads.keepOnly(view);
+        peerLoads.keepOnly(view);
         spec.memoryTokens = 100'000;
     }
 
-    void tell()
+    void sendDigest()
     {
         Wire::LoadDigestT digest;
         digest.daemon = "other";
-        digest.upstreams = theirs.shares(now);
-        digest.placed = theirs.takePlaced(DigestReach::OwnRegion);
-        mine.applyDigest(digest, now);
+        digest.upstreams = peerLoads.shares(now);
+        digest.placed = peerLoads.takePlaced(DigestReach::OwnRegion);
+        ownLoads.applyDigest(digest, now);
     }
 
-    UpstreamLoads mine;
-    UpstreamLoads theirs;
+    UpstreamLoads ownLoads;
+    UpstreamLoads peerLoads;
     UpstreamRecord engine;
     ServiceSpec spec;
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(DigestFixture, "Loads, tokens that other daemons had read, age the parts that an upstream keeps")
+TEST_CASE_FIXTURE(DigestFixture, "Loads, tokens read for other daemons, age the cached parts of an upstream")
 {
-    LoadTicket ticket = mine.sent(engine, spec, promptOf(5'000, 1, 11), Placement{}, now);
-    mine.ended(ticket, LoadOutcome::Answered, now);
-    tell();
+    LoadTicket ticket = ownLoads.sent(engine, spec, promptOf(5'000, 1, 11), Placement{}, now);
+    ownLoads.ended(ticket, LoadOutcome::Answered, now);
+    sendDigest();
     for (unsigned own = 1; own <= 20; ++own) {
-        LoadTicket other = theirs.sent(engine, spec, promptOf(0, 9'000 + own, 12), Placement{}, now);
-        theirs.ended(other, LoadOutcome::Answered, now);
-        tell();
+        LoadTicket other = peerLoads.sent(engine, spec, promptOf(0, 9'000 + own, 12), Placement{}, now);
+        peerLoads.ended(other, LoadOutcome::Answered, now);
+        sendDigest();
     }
-    CHECK(mine.describe(engine, spec, promptOf(5'000, 2, 11), now).cachedTokens == 0);
+    CHECK(ownLoads.describe(engine, spec, promptOf(5'000, 2, 11), now).cachedTokens == 0);
 }
 
-TEST_CASE_FIXTURE(DigestFixture, "Loads, daemon that starts anew and counts from zero, ages nothing")
+TEST_CASE_FIXTURE(DigestFixture, "Loads, daemon that restarts its counters from zero, ages nothing")
 {
-    theirs.sent(engine, spec, promptOf(0, 60'000, 12), Placement{}, now);
-    tell();
-    mine.sent(engine, spec, promptOf(5'000, 1, 11), Placement{}, now);
-    theirs = UpstreamLoads();
+    peerLoads.sent(engine, spec, promptOf(0, 60'000, 12), Placement{}, now);
+    sendDigest();
+    ownLoads.sent(engine, spec, promptOf(5'000, 1, 11), Placement{}, now);
+    peerLoads = UpstreamLoads();
     FleetView view;
     view.upstreams["e"] = engine;
-    theirs.keepOnly(view);
-    theirs.sent(engine, spec, promptOf(0, 100, 13), Placement{}, now);
-    tell();
-    CHECK(mine.describe(engine, spec, promptOf(5'000, 2, 11), now).cachedTokens == 5'000);
+    peerLoads.keepOnly(view);
+    peerLoads.sent(engine, spec, promptOf(0, 100, 13), Placement{}, now);
+    sendDigest();
+    CHECK(ownLoads.describe(engine, spec, promptOf(5'000, 2, 11), now).cachedTokens == 5'000);
 }
 
-TEST_CASE_FIXTURE(DigestFixture, "Loads, upstream that a daemon's requests left, is told idle")
+TEST_CASE_FIXTURE(DigestFixture, "Loads, upstream whose requests of a daemon ended, is reported idle")
 {
-    LoadTicket ticket = theirs.sent(engine, spec, promptOf(0, 9'000, 12), Placement{}, now);
-    tell();
-    CHECK(mine.describe(engine, spec, {}, now).running == 1);
-    theirs.ended(ticket, LoadOutcome::Answered, now);
-    tell();
-    CHECK(mine.describe(engine, spec, {}, now).running == 0);
+    LoadTicket ticket = peerLoads.sent(engine, spec, promptOf(0, 9'000, 12), Placement{}, now);
+    sendDigest();
+    CHECK(ownLoads.describe(engine, spec, {}, now).running == 1);
+    peerLoads.ended(ticket, LoadOutcome::Answered, now);
+    sendDigest();
+    CHECK(ownLoads.describe(engine, spec, {}, now).running == 0);
 }
 
-TEST_CASE_FIXTURE(DigestFixture, "Loads, first tokens later than predicted, make an upstream slow and in time ones fast again")
+TEST_CASE_FIXTURE(DigestFixture, "Loads, first tokens later than predicted, raise the slowness until they are in time again")
 {
     Placement placement;
     placement.predictedMs = 100;
     std::uint64_t topic = 100;
     const auto answerAfter = [&](std::chrono::milliseconds took) {
-        LoadTicket ticket = mine.sent(engine, spec, promptOf(0, 9'000, ++topic), placement, now);
-        mine.firstToken(ticket, now + took);
-        mine.ended(ticket, LoadOutcome::Answered, now + took);
+        LoadTicket ticket = ownLoads.sent(engine, spec, promptOf(0, 9'000, ++topic), placement, now);
+        ownLoads.firstToken(ticket, now + took);
+        ownLoads.ended(ticket, LoadOutcome::Answered, now + took);
     };
     for (int round = 0; round < 30; ++round) {
         answerAfter(400ms);
     }
-    CHECK(mine.describe(engine, spec, {}, now).slowness > 3);
+    CHECK(ownLoads.describe(engine, spec, {}, now).slowness > 3);
     for (int round = 0; round < 60; ++round) {
         answerAfter(50ms);
     }
-    CHECK(mine.describe(engine, spec, {}, now).slowness < 1);
+    CHECK(ownLoads.describe(engine, spec, {}, now).slowness < 1);
 }
 
-TEST_CASE("Loads, first token and end of a request, take its share away")
+TEST_CASE("Loads, first token and end of a request, remove its load")
 {
     UpstreamLoads loads;
     UpstreamRecord engine;
@@ -387,7 +387,7 @@
     CHECK(loads.describe(engine, spec, prompt, now + 200ms).running == 0);
 }
 
-TEST_CASE("Loads, upstream that owes answers and sends nothing, is avoided until it is heard")
+TEST_CASE("Loads, silent upstream with requests in progress, is excluded until it sends something")
 {
     UpstreamLoads loads;
     UpstreamRecord engine;
@@ -401,7 +401,7 @@
     CHECK(loads.describe(engine, spec, prompt, now + 900ms).exclusionReason == ExclusionReason::None);
 }
 
-TEST_CASE("Loads, failures in a row, keep new requests away for a while")
+TEST_CASE("Loads, consecutive failures, exclude the upstream for a while")
 {
     UpstreamLoads loads;
     UpstreamRecord engine;
@@ -414,7 +414,7 @@
     CHECK(loads.describe(engine, spec, {}, now + 5s).exclusionReason == ExclusionReason::None);
 }
 
-TEST_CASE("Loads, failure share, fades where nothing more is sent there")
+TEST_CASE("Loads, failure share, decays while nothing is sent")
 {
     UpstreamLoads loads;
     UpstreamRecord upstream;
--- a/tests/gateway/platform_tests.cpp
+++ b/tests/gateway/platform_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The adapter to the users' platform: what it decodes, and that broken input is an error with a reason.
+// The platform adapter decodes valid input and reports malformed input as an error with a reason.
 
 #include "platform/base64.h"
 #include "platform/node_settings.h"
@@ -54,7 +54,7 @@
     CHECK(map.limits.headerBytes == 1'000);
 }
 
-TEST_CASE("Operator configuration, broken text, is an error that says what is missing")
+TEST_CASE("Operator configuration, malformed text, is an error with a message")
 {
     for (const char *text : { "", "{", "[]", R"({"version":1})", R"({"version":1,"routes":[{"name":"x"}],"services":[]})" }) {
         const auto parsed = parseOperatorConfig(text);
@@ -64,7 +64,7 @@
     }
 }
 
-TEST_CASE("Operator configuration, any cut of a valid one, neither crashes nor is taken")
+TEST_CASE("Operator configuration, any truncation of a valid one, is rejected without a crash")
 {
     const std::string text = configText;
     rc::check([&] {
@@ -73,7 +73,7 @@
     });
 }
 
-TEST_CASE("Upstream record, draining with little time left, is leaving and says when it is gone")
+TEST_CASE("Upstream record, draining with remaining time, is leaving and has an end time")
 {
     const auto parsed = parseUpstreamRecord(
         "i-1",
@@ -86,7 +86,7 @@
     CHECK(valueOf(parsed).region == "north");
 }
 
-TEST_CASE("Upstream record, cold start, is cold until its time is over")
+TEST_CASE("Upstream record, cold start, is cold until its remaining time has passed")
 {
     const auto parsed = parseUpstreamRecord(
         "i-1",
@@ -103,7 +103,7 @@
     CHECK_FALSE(isOk(parseUpstreamRecord("i-1", R"({"service":"m"})", {}, now)));
 }
 
-TEST_CASE("Node settings, fields of the platform, are decoded into this project's words")
+TEST_CASE("Node settings, fields of the platform, are decoded into the fields of this project")
 {
     const auto parsed = parseNodeSettings(settingsText);
     REQUIRE(isOk(parsed));
@@ -122,7 +122,7 @@
     CHECK(errorOf(parsed).message.find("nodeName") != std::string::npos);
 }
 
-TEST_CASE("Base64, any bytes, come back the same")
+TEST_CASE("Base64, any bytes, are the same after encoding and decoding")
 {
     rc::check([](const std::string &bytes) { RC_ASSERT(decodeBase64(encodeBase64(bytes)) == bytes); });
     CHECK(encodeBase64("node-1") == "bm9kZS0x");
--- a/tests/gateway/policy_settings_tests.cpp
+++ b/tests/gateway/policy_settings_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The names under which an operator changes weights and mechanisms.
+// Parsing of the settings by which an operator changes weights and mechanisms.
 
 #include "portpaddle/gateway/policy_settings.h"
 
@@ -19,7 +19,7 @@
     CHECK(valueOf(settings).weights.lateMs == PlacementWeights{}.lateMs);
 }
 
-TEST_CASE("Policy settings, names with values, take effect")
+TEST_CASE("Policy settings, known names with valid values, take effect")
 {
     const Result<PolicySettings> settings = parsePolicy(Json{ { "fetching", false }, { "late_ms", 700 } });
     REQUIRE(isOk(settings));
--- a/tests/gateway/prompt_homes_tests.cpp
+++ b/tests/gateway/prompt_homes_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Where shared parts of prompts are expected to lie.
+// Where shared parts of prompts are expected to be cached.
 
 #include "portpaddle/gateway/prefix_affinity.h"
 
@@ -25,77 +25,78 @@
     return prompt;
 }
 
-/// Six engines of the own region and another region.
-class HomesFixture
+/// Six engines of the own region, and another region.
+class PrefixAffinityFixture
 {
 public:
-    /// What each engine and, last, the other region is expected to keep of @p prompt.
+    /// Returns the expected cached tokens of @p prompt at each engine and, last, the other region.
     std::vector<double> expected(const PromptFacts &prompt, double ownUpstreams = 6, double otherUpstreams = 6) const
     {
         std::vector<UpstreamCandidate> engines(6);
-        RegionCandidate away;
-        std::vector<AffinityUpstream> homes;
+        RegionCandidate otherRegion;
+        std::vector<AffinityUpstream> affinityUpstreams;
         for (std::size_t index = 0; index < engines.size(); ++index) {
-            homes.push_back({ &engines[index], 100 + index });
+            affinityUpstreams.push_back({ &engines[index], 100 + index });
         }
         std::vector<AffinityRegion> regions{ { nullptr, ownRegionKey, ownUpstreams } };
         if (otherUpstreams > 0) {
-            regions.push_back({ &away, otherRegionKey, otherUpstreams });
+            regions.push_back({ &otherRegion, otherRegionKey, otherUpstreams });
         }
-        applyPrefixAffinity(prompt, regions, homes);
-        std::vector<double> kept;
+        applyPrefixAffinity(prompt, regions, affinityUpstreams);
+        std::vector<double> cached;
         for (const UpstreamCandidate &engine : engines) {
-            kept.push_back(engine.cachedTokens);
+            cached.push_back(engine.cachedTokens);
         }
-        kept.push_back(away.cachedTokens);
-        return kept;
+        cached.push_back(otherRegion.cachedTokens);
+        return cached;
     }
 };
 
-bool livesAway(const std::vector<double> &kept)
+bool prefersOtherRegion(const std::vector<double> &cached)
 {
-    return kept.back() > *std::max_element(kept.begin(), kept.end() - 1);
+    return cached.back() > *std::max_element(cached.begin(), cached.end() - 1);
 }
 
 } // namespace
 
-TEST_CASE_FIXTURE(HomesFixture, "Prefix affinity, shared part, has a preferred region that keeps most and two engines per region")
+TEST_CASE_FIXTURE(PrefixAffinityFixture,
+                  "Prefix affinity, shared part, is expected mostly in its preferred region and at two engines per region")
 {
     for (std::uint64_t topic = 1; topic < 50; ++topic) {
-        const std::vector<double> kept = expected(promptOf(topic));
-        CHECK(std::count_if(kept.begin(), kept.end() - 1, [](double tokens) { return tokens > 0; }) == 2);
-        CHECK(*std::max_element(kept.begin(), kept.end()) == doctest::Approx(4'500));
-        CHECK(kept == expected(promptOf(topic)));
+        const std::vector<double> cached = expected(promptOf(topic));
+        CHECK(std::count_if(cached.begin(), cached.end() - 1, [](double tokens) { return tokens > 0; }) == 2);
+        CHECK(*std::max_element(cached.begin(), cached.end()) == doctest::Approx(4'500));
+        CHECK(cached == expected(promptOf(topic)));
     }
 }
 
-TEST_CASE_FIXTURE(HomesFixture, "Prefix affinity, regions of unequal size, are chosen in proportion")
+TEST_CASE_FIXTURE(PrefixAffinityFixture, "Prefix affinity, regions of unequal size, are chosen in proportion")
 {
-    int away = 0;
+    int otherRegionCount = 0;
     for (std::uint64_t topic = 1; topic <= 2'000; ++topic) {
-        away += livesAway(expected(promptOf(topic), 6, 18)) ? 1 : 0;
+        otherRegionCount += prefersOtherRegion(expected(promptOf(topic), 6, 18)) ? 1 : 0;
     }
-    CHECK(away > 1'400);
-    CHECK(away < 1'600);
+    CHECK(otherRegionCount > 1'400);
+    CHECK(otherRegionCount < 1'600);
 }
 
-TEST_CASE_FIXTURE(HomesFixture, "Prefix affinity, region that cannot be reached, leaves the own one as the preferred region")
+TEST_CASE_FIXTURE(PrefixAffinityFixture, "Prefix affinity, unreachable region, leaves the own region as the preferred one")
 {
     for (std::uint64_t topic = 1; topic < 50; ++topic) {
-        CHECK_FALSE(livesAway(expected(promptOf(topic), 6, 0)));
+        CHECK_FALSE(prefersOtherRegion(expected(promptOf(topic), 6, 0)));
     }
 }
 
-TEST_CASE_FIXTURE(HomesFixture, "Prefix affinity, prompt without a shared part, has no preferred region or engine")
+TEST_CASE_FIXTURE(PrefixAffinityFixture, "Prefix affinity, prompt without a shared part, has no preferred region or engine")
 {
     PromptFacts prompt;
     prompt.parts = { { 9, 2'000 } };
     prompt.promptTokens = 2'000;
-    const std::vector<double> kept = expected(prompt);
-    CHECK(std::all_of(kept.begin(), kept.end(), [](double tokens) { return tokens == 0; }));
+    const std::vector<double> cached = expected(prompt);
+    CHECK(std::all_of(cached.begin(), cached.end(), [](double tokens) { return tokens == 0; }));
 }
 
-TEST_CASE("Prefix affinity, engine known to keep all, is not expected to keep less")
+TEST_CASE("Prefix affinity, engine known to cache all, is not expected to cache less")
 {
     UpstreamCandidate engine;
     engine.cachedTokens = 5'000;
--- a/tests/gateway/relay_tests.cpp
+++ b/tests/gateway/relay_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Requests that pass from one region to another: who may send them once more, and what both daemons tell of it.
+// Requests relayed between regions: which daemon may retry them, and the number of sends that both report.
 
 #include "support/gateway_site.h"
 #include "support/scripted_upstream.h"
@@ -14,15 +14,15 @@
 
 namespace {
 
-constexpr const char *otherLifeAnswer = "HTTP/1.1 421 Other\r\nX-Upstream: u9\r\nContent-Length: 0\r\n\r\n";
+constexpr const char *otherIncarnationAnswer = "HTTP/1.1 421 Other\r\nX-Upstream: u9\r\nContent-Length: 0\r\n\r\n";
 
-/// What a daemon answers that sent a request to so many upstreams, none of which ran it.
+/// Returns the answer of a daemon that sent a request to @p sends upstreams, none of which ran it.
 std::string relayRefusal(const std::string &sends)
 {
     return "HTTP/1.1 503 Busy\r\nX-Portpaddle-Outcome: not_run\r\nX-Portpaddle-Sends: " + sends + "\r\nContent-Length: 0\r\n\r\n";
 }
 
-/// A daemon of another region, which is a script, and an upstream of the own one.
+/// A scripted daemon of another region and an upstream of the own region.
 class OtherRegionFixture : public GatewaySite
 {
 public:
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(GatewaySite, "Relayed request, no upstream that takes it, is refused at once with none asked")
+TEST_CASE_FIXTURE(GatewaySite, "Relayed request, no available upstream, is refused at once without an attempt")
 {
     const SeenAnswer answer = askAsDaemon("/plain/a", "id1");
     CHECK(answer.status == 503);
@@ -66,7 +66,7 @@
     CHECK(answer.head.find("X-Portpaddle-Sends: 2") != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Relayed request, sent as often as its route allows before, is not sent again")
+TEST_CASE_FIXTURE(GatewaySite, "Relayed request, attempts of its route used up, is not sent again")
 {
     ScriptedUpstream upstream([](const SeenRequest &) { return ScriptedAnswer{ notRunAnswer }; });
     ScriptedUpstream other(echo);
@@ -76,7 +76,7 @@
     CHECK(answer.head.find("X-Portpaddle-Sends: 1") != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(OtherRegionFixture, "Request with one attempt, other region asked no upstream, is served at home")
+TEST_CASE_FIXTURE(OtherRegionFixture, "Request with one attempt, other region made no attempt, is served in its own region")
 {
     const SeenAnswer answer = askWhenRefusedElsewhere(relayRefusal("0"));
     CHECK(daemon->seen().size() == 1);
@@ -84,14 +84,15 @@
     CHECK(answer.body == "body");
 }
 
-TEST_CASE_FIXTURE(OtherRegionFixture, "Request with one attempt, other region asked an upstream, is refused")
+TEST_CASE_FIXTURE(OtherRegionFixture, "Request with one attempt, other region made an attempt, is refused")
 {
     CHECK(askWhenRefusedElsewhere(relayRefusal("1")).status == 503);
     CHECK(daemon->seen().size() == 1);
     CHECK(upstream.seen().empty());
 }
 
-TEST_CASE_FIXTURE(OtherRegionFixture, "Request with two attempts, other region tells more sends than can be, is sent once more")
+TEST_CASE_FIXTURE(OtherRegionFixture,
+                  "Request with two attempts, other region reports an impossible number of sends, is sent once more")
 {
     daemon = std::make_unique<ScriptedUpstream>([](const SeenRequest &) { return ScriptedAnswer{ relayRefusal("4294967295") }; });
     addRemoteDaemon("e1", "east", daemon->address(), keptElsewhere);
@@ -99,16 +100,16 @@
     CHECK(upstream.seen().size() == 1);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Upstream, another life answers at its address, is not asked again")
+TEST_CASE_FIXTURE(GatewaySite, "Upstream, another incarnation answers at its address, is sent nothing more")
 {
-    ScriptedUpstream upstream([](const SeenRequest &) { return ScriptedAnswer{ otherLifeAnswer }; });
+    ScriptedUpstream upstream([](const SeenRequest &) { return ScriptedAnswer{ otherIncarnationAnswer }; });
     addUpstream("u1", upstream.address());
     CHECK(ask("/single/a", "id1").status == 503);
     CHECK(ask("/single/a", "id2").status == 503);
     CHECK(upstream.seen().size() == 1);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Stream, broken when new requests would be too late, goes on at another upstream")
+TEST_CASE_FIXTURE(GatewaySite, "Stream, broken when new requests would be too late, continues at another upstream")
 {
     std::atomic<unsigned> asked{ 0 };
     const auto script = [this, &asked](const SeenRequest &request) {
@@ -117,9 +118,9 @@
             answer.bytes = streamHead(idOf(request)) + eventChunk(1, 2);
             answer.then = ScriptedAnswer::Then::Close;
             answer.afterWriting = [this] {
-                PolicySettings nothingNew;
-                nothingNew.weights.firstTokenBound = 0;
-                onLoop([&nothingNew](Gateway &gateway) { gateway.setPolicy(nothingNew); });
+                PolicySettings noNewRequests;
+                noNewRequests.weights.firstTokenBound = 0;
+                onLoop([&noNewRequests](Gateway &gateway) { gateway.setPolicy(noNewRequests); });
             };
         } else {
             answer.bytes = streamHead(idOf(request)) + eventChunk(3, 4) + lastChunk;
@@ -136,7 +137,7 @@
     CHECK(ask("/resume/a", "id2").status == 503);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request, upstreams that answer every other one with an error of their own, stays in its region")
+TEST_CASE_FIXTURE(GatewaySite, "Request, upstreams that fail every other request, stays in its region")
 {
     std::atomic<unsigned> asked{ 0 };
     const auto everyOther = [&asked](const SeenRequest &request) {
--- a/tests/gateway/request_path_tests.cpp
+++ b/tests/gateway/request_path_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The path of a request through a gateway, against upstreams that answer well, badly or not at all.
+// The path of a request through a gateway with upstreams that answer correctly, incorrectly or not at all.
 
 #include "portpaddle/gateway/upstream_loads.h"
 #include "support/eventually.h"
@@ -22,13 +22,14 @@
 
 using Then = ScriptedAnswer::Then;
 
-/// Two upstreams, of which whichever is asked first behaves badly once.
+/// Two upstreams; the first request that reaches either gets the answer set by the test.
 class FirstAttemptFixture : public GatewaySite
 {
 public:
-    void begin(std::function<ScriptedAnswer(const SeenRequest &)> bad)
+    void addUpstreamPair(std::function<ScriptedAnswer(const SeenRequest &)> firstAnswer)
     {
-        const auto script = [this, bad](const SeenRequest &request) { return asked++ == 0 ? bad(request) : echo(request); };
+        const auto script
+            = [this, firstAnswer](const SeenRequest &request) { return asked++ == 0 ? firstAnswer(request) : echo(request); };
         first = std::make_unique<ScriptedUpstream>(script);
         second = std::make_unique<ScriptedUpstream>(script);
         addUpstream("u1", first->address());
@@ -56,7 +57,7 @@
     CHECK(upstream.seen().at(0).headers.at("x-expected-upstream") == "u1");
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, body in chunks, reaches the upstream whole")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, chunked body, reaches the upstream whole")
 {
     ScriptedUpstream upstream(echo);
     addUpstream("u1", upstream.address());
@@ -67,7 +68,7 @@
     CHECK(upstream.seen().at(0).body == "abcde");
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, headers that the system sets or that concern the connection, are not passed on")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, headers reserved for the system or of the connection, are not passed on")
 {
     ScriptedUpstream upstream(echo);
     addUpstream("u1", upstream.address());
@@ -84,7 +85,7 @@
     CHECK(seen.headers.at("x-kept") == "2");
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, connection kept by the upstream, is used again")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, connection kept open by the upstream, is reused")
 {
     ScriptedUpstream upstream(echo);
     addUpstream("u1", upstream.address());
@@ -94,7 +95,7 @@
     CHECK(upstream.connections() == 1);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, bytes after a whole answer, never reach a later request")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, bytes after a complete answer, never reach a later request")
 {
     ScriptedUpstream upstream([](const SeenRequest &request) {
         return ScriptedAnswer{ wholeAnswer(idOf(request), "good")
@@ -115,7 +116,7 @@
     CHECK(ask("/once/a", "id1").body == "yours");
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, success without the upstream's signature, is no answer")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, success without the signature of the upstream, is not accepted")
 {
     ScriptedUpstream upstream(
         [](const SeenRequest &) { return ScriptedAnswer{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" }; });
@@ -123,18 +124,18 @@
     CHECK(ask("/once/a", "id1").status == 502);
 }
 
-TEST_CASE_FIXTURE(FirstAttemptFixture, "Request path, answer that breaks off, is repeated only where the route allows")
+TEST_CASE_FIXTURE(FirstAttemptFixture, "Request path, truncated answer, is retried only if the route allows it")
 {
-    begin([](const SeenRequest &request) {
+    addUpstreamPair([](const SeenRequest &request) {
         const std::string answer = wholeAnswer(idOf(request), "0123456789");
         return ScriptedAnswer{ answer.substr(0, answer.size() - 4), Then::Close };
     });
-    SUBCASE("not on a route that must not repeat")
+    SUBCASE("route without retries after sending")
     {
         CHECK(ask("/once/a", "id1").status == 502);
         CHECK(asked == 1);
     }
-    SUBCASE("at another upstream on one that may")
+    SUBCASE("route with retries: another upstream serves")
     {
         CHECK(ask("/plain/a", "id1").status == 200);
         CHECK(first->seen().size() == 1);
@@ -142,10 +143,10 @@
     }
 }
 
-TEST_CASE_FIXTURE(FirstAttemptFixture, "Request path, refusal with proof, goes elsewhere or comes back as a promise")
+TEST_CASE_FIXTURE(FirstAttemptFixture, "Request path, refusal with proof that it did not run, is retried or reported as not run")
 {
-    begin([](const SeenRequest &) { return ScriptedAnswer{ notRunAnswer }; });
-    SUBCASE("one attempt allowed: told not run and when to return")
+    addUpstreamPair([](const SeenRequest &) { return ScriptedAnswer{ notRunAnswer }; });
+    SUBCASE("one attempt allowed: 503 with Retry-After")
     {
         const SeenAnswer answer = ask("/single/a", "id1");
         CHECK(answer.status == 503);
@@ -159,7 +160,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, refusal without proof, is not shown as a promise")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, refusal without proof, is not reported as not run")
 {
     ScriptedUpstream upstream(
         [](const SeenRequest &) { return ScriptedAnswer{ "HTTP/1.1 503 Busy\r\nX-Signature: s\r\nContent-Length: 0\r\n\r\n" }; });
@@ -169,7 +170,7 @@
     CHECK(answer.head.find("X-Signature") == std::string::npos);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, reset after the request was sent, is told as may have run")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, reset after the request was sent, is reported as may have run")
 {
     ScriptedUpstream upstream([](const SeenRequest &) { return ScriptedAnswer{ "", Then::Reset }; });
     addUpstream("u1", upstream.address());
@@ -177,14 +178,14 @@
     CHECK(upstream.seen().size() == 1);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, upstream that refuses connections, is told as not run")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, upstream that refuses connections, is reported as not run")
 {
-    std::string dead;
+    std::string closedAddress;
     {
-        ScriptedUpstream gone(echo);
-        dead = gone.address();
+        ScriptedUpstream closedUpstream(echo);
+        closedAddress = closedUpstream.address();
     }
-    addUpstream("u1", dead);
+    addUpstream("u1", closedAddress);
     CHECK(ask("/once/a", "id1").status == 503);
 }
 
@@ -195,7 +196,7 @@
     CHECK(site.ask("/plain/a", "id1").status == 503);
 }
 
-TEST_CASE("Request path, configuration that comes while a request waits, serves it")
+TEST_CASE("Request path, configuration that arrives while a request waits, serves the request")
 {
     GatewaySite site(GatewaySite::Routes::Unknown);
     site.terms.configurationWait = std::chrono::hours(1);
@@ -218,7 +219,7 @@
     CHECK(ask("/nowhere/", "id1").status == 404);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, silent upstream, is given up at the route's time-out")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, silent upstream, is abandoned at the time-out of the route")
 {
     ScriptedUpstream silent([](const SeenRequest &) { return ScriptedAnswer{ "", Then::Hang }; });
     addUpstream("u1", silent.address());
@@ -228,7 +229,7 @@
     CHECK(eventually([&] { return silent.closedByPeer() == 1; }));
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, caller's own time left, bounds the attempt")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, time-out set by the caller, bounds the attempt")
 {
     ScriptedUpstream silent([](const SeenRequest &) { return ScriptedAnswer{ "", Then::Hang }; });
     addUpstream("u1", silent.address());
@@ -238,8 +239,8 @@
 
 namespace {
 
-/// Says nothing for longer than a daemon bears where another upstream may follow, and answers then.
-ScriptedAnswer echoLate(const SeenRequest &request)
+/// Answers only after twice the silence after which a daemon tries another upstream.
+ScriptedAnswer echoAfterSilence(const SeenRequest &request)
 {
     std::this_thread::sleep_for(upstreamSilenceBound * 2);
     return echo(request);
@@ -247,32 +248,32 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(FirstAttemptFixture, "Request path, hanging upstream on a route that may repeat, is left for another")
+TEST_CASE_FIXTURE(FirstAttemptFixture, "Request path, hanging upstream on a route with retries, is replaced by another")
 {
-    begin([](const SeenRequest &) { return ScriptedAnswer{ "", Then::Hang }; });
+    addUpstreamPair([](const SeenRequest &) { return ScriptedAnswer{ "", Then::Hang }; });
     CHECK(ask("/plain/a", "id1").status == 200);
     CHECK(asked == 2);
 }
 
 TEST_CASE_FIXTURE(GatewaySite, "Request path, silent upstream and no other, is waited for")
 {
-    ScriptedUpstream slow(echoLate);
+    ScriptedUpstream slow(echoAfterSilence);
     addUpstream("u1", slow.address());
     CHECK(ask("/plain/a", "id1").status == 200);
     CHECK(slow.seen().size() == 1);
 }
 
-TEST_CASE_FIXTURE(FirstAttemptFixture, "Request path, silent upstream and no budget for repeats, is waited for")
+TEST_CASE_FIXTURE(FirstAttemptFixture, "Request path, silent upstream and no retry budget, is waited for")
 {
     terms.retryRatio = 0;
     terms.extraRetriesPerWindow = 0;
     setOptions();
-    begin(echoLate);
+    addUpstreamPair(echoAfterSilence);
     CHECK(ask("/plain/a", "id1").status == 200);
     CHECK(asked == 1);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, caller leaves before the answer, ends the upstream's work")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, caller disconnects before the answer, closes the upstream connection")
 {
     ScriptedUpstream silent([](const SeenRequest &) { return ScriptedAnswer{ "", Then::Hang }; });
     addUpstream("u1", silent.address());
@@ -283,14 +284,14 @@
     CHECK(eventually([&] { return silent.closedByPeer() == 1; }));
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, broken framing, is answered and the connection closed")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, invalid framing, is answered with 400 and the connection closed")
 {
     RawCaller caller(address());
-    SUBCASE("both lengths")
+    SUBCASE("both length and chunked encoding")
     {
         caller.send("POST /plain/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
     }
-    SUBCASE("bad length")
+    SUBCASE("invalid length")
     {
         caller.send("POST /plain/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3x\r\n\r\nabc");
     }
@@ -320,7 +321,7 @@
     CHECK(answer.body == events(1, 5));
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, stream that breaks off, does not look complete")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, truncated stream, does not look complete")
 {
     ScriptedUpstream upstream([](const SeenRequest &request) {
         return ScriptedAnswer{ streamHead(idOf(request)) + eventChunk(1, 3) + "20\r\nid: 4\ndata: tok", Then::Close };
@@ -332,7 +333,7 @@
 }
 
 TEST_CASE_FIXTURE(GatewaySite,
-                  "Request path, stream that may go on and breaks within an event, is continued after the last whole one")
+                  "Request path, resumable stream that breaks within an event, is continued after the last complete event")
 {
     const auto script = [](const SeenRequest &request) {
         const auto from = request.headers.find("last-event-id");
@@ -361,7 +362,7 @@
     CHECK_FALSE(ask("/stream/a", "id1").whole);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, idle connections closed all the time, never drop a request that was taken")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, idle connections closed constantly, never drop a request that was accepted")
 {
     ScriptedUpstream upstream(echo);
     addUpstream("u1", upstream.address());
@@ -370,7 +371,7 @@
     for (int round = 0; round < 400; ++round) {
         const std::string id = "id" + std::to_string(round);
         std::optional<RawCaller> caller;
-        // While the loop is held, so that the request is there before the connection is accepted.
+        // Blocks the loop, so that the request has arrived before the connection is accepted.
         onLoop([&](Gateway &) {
             caller.emplace(address());
             caller->send(request("/plain/a", id));
@@ -386,7 +387,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Request path, two requests on one connection, are answered in turn")
+TEST_CASE_FIXTURE(GatewaySite, "Request path, two requests on one connection, are answered in order")
 {
     ScriptedUpstream upstream(echo);
     addUpstream("u1", upstream.address());
--- a/tests/gateway/retry_budget_tests.cpp
+++ b/tests/gateway/retry_budget_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What a daemon may repeat before and after the others can know of it.
+// The retry budget of a daemon before and after other daemons can count it.
 
 #include "support/gateway_site.h"
 #include "support/scripted_upstream.h"
@@ -31,8 +31,8 @@
         setOptions();
     }
 
-    /// Sends so many requests and gives the arrivals beyond the first of each.
-    std::size_t repeatsOf(std::size_t requests)
+    /// Sends @p requests and returns the number of retries that arrived.
+    std::size_t retriesOf(std::size_t requests)
     {
         const std::size_t before = first.seen().size() + second.seen().size();
         for (std::size_t index = 0; index < requests; ++index) {
@@ -53,7 +53,7 @@
     }
 };
 
-/// The second that a process keeps from cold upstreams has gone by.
+/// A daemon past the second after its start in which it sends nothing to cold upstreams.
 class ColdUpstreamFixture : public GatewaySite
 {
 public:
@@ -62,12 +62,12 @@
         routes.services["s"].coldPerSecond = 100;
         publishRoutes();
         addColdUpstream("u1", upstream.address());
-        passed = std::make_unique<Suspension>(5s);
+        elapsed = std::make_unique<Suspension>(5s);
         onLoop([](Gateway &gateway) { gateway.tick(); });
     }
 
     ScriptedUpstream upstream{ echo };
-    std::unique_ptr<Suspension> passed;
+    std::unique_ptr<Suspension> elapsed;
 };
 
 class UnlistedColdUpstreamFixture : public ColdUpstreamFixture
@@ -80,31 +80,31 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(UnlistedFixture, "Daemon that has just started, failing upstreams, repeats what its requests pay for")
+TEST_CASE_FIXTURE(UnlistedFixture, "Daemon that has just started, failing upstreams, retries within the credit of its requests")
 {
-    CHECK(repeatsOf(20) <= 4);
+    CHECK(retriesOf(20) <= 4);
 }
 
 TEST_CASE_FIXTURE(FailingUpstreamsFixture,
-                  "Daemon that was listed for a window, failing upstreams, repeats beyond what is paid for")
+                  "Daemon that was listed for a window, failing upstreams, retries beyond the credit of its requests")
 {
-    CHECK(repeatsOf(20) > 4);
+    CHECK(retriesOf(20) > 4);
 }
 
-TEST_CASE_FIXTURE(ColdUpstreamFixture, "Cold upstream, daemon that is on the list, is sent requests")
+TEST_CASE_FIXTURE(ColdUpstreamFixture, "Cold upstream, listed daemon, is sent requests")
 {
     CHECK(ask("/plain/a", "id1").status == 200);
 }
 
-// The bound of a cold upstream is divided by the daemons on the list, one at least: daemons that all had started before any of
-// them was listed would each take the whole.
-TEST_CASE_FIXTURE(UnlistedColdUpstreamFixture, "Cold upstream, daemon that nobody can count, is sent nothing")
+// The rate of a cold upstream is divided by the number of listed daemons, at least one: if several daemons started before any
+// was listed, each would use the whole rate.
+TEST_CASE_FIXTURE(UnlistedColdUpstreamFixture, "Cold upstream, unlisted daemon, is sent nothing")
 {
     CHECK(ask("/plain/a", "id1").status == 503);
     CHECK(upstream.seen().empty());
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Relayed request, refused before it is placed, tells that nobody was asked here")
+TEST_CASE_FIXTURE(GatewaySite, "Relayed request, refused before placement, reports no attempt")
 {
     const SeenAnswer answer = askAsDaemon("/nowhere/a", "id1", "X-Portpaddle-Sends: 1\r\n");
     CHECK(answer.head.find("X-Portpaddle-Outcome: not_run") != std::string::npos);
--- a/tests/gateway/retry_fleet_tests.cpp
+++ b/tests/gateway/retry_fleet_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The retry budget over a whole fleet in virtual time, with every request failing as often as it may be sent.
+// The retry budget of a whole fleet in virtual time, where every attempt of every request fails.
 
 #include "support/retry_fleet.h"
 
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr unsigned seeds = 20;
-// More than any budget allows: what is left is always asked for.
+// More attempts than any budget allows, so that requests always ask for the rest of the budget.
 constexpr unsigned manyAttempts = 1'000;
 
-RetryScenario pressing(double requestsPerSecond, const FleetTroubles &troubles)
+RetryScenario saturatedScenario(double requestsPerSecond, const FleetTroubles &troubles)
 {
     RetryScenario scenario;
     scenario.requestsPerSecond = requestsPerSecond;
@@ -25,11 +25,11 @@
     return scenario;
 }
 
-void keepsToBudget(const FleetTroubles &troubles)
+void checkBudgetKept(const FleetTroubles &troubles)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         for (const double requestsPerSecond : { 0.1, 3.0 }) {
-            RetryFleet fleet(pressing(requestsPerSecond, troubles), RetryWay::SharedCredit, seed);
+            RetryFleet fleet(saturatedScenario(requestsPerSecond, troubles), RetryWay::SharedCredit, seed);
             fleet.play(60s);
             CAPTURE(seed);
             CAPTURE(requestsPerSecond);
@@ -41,19 +41,19 @@
 
 } // namespace
 
-TEST_CASE("Retry budget of a fleet, nothing wrong and few requests, is kept")
+TEST_CASE("Retry budget of a fleet, no faults and few requests, is kept")
 {
-    RetryFleet fleet(pressing(0.1, {}), RetryWay::SharedCredit, 1);
+    RetryFleet fleet(saturatedScenario(0.1, {}), RetryWay::SharedCredit, 1);
     fleet.play(60s);
     CHECK(fleet.worstExcess() <= 0);
     CHECK(fleet.repeats() > 0);
 }
 
-TEST_CASE("Retry budget of a fleet, nothing wrong until all requests fail, is kept and for the most part used")
+TEST_CASE("Retry budget of a fleet, no faults until all requests fail, is kept and mostly used")
 {
     for (const double requestsPerSecond : { 1.0, 3.0 }) {
         CAPTURE(requestsPerSecond);
-        RetryScenario scenario = pressing(requestsPerSecond, {});
+        RetryScenario scenario = saturatedScenario(requestsPerSecond, {});
         scenario.calm = 20s;
         RetryFleet fleet(scenario, RetryWay::SharedCredit, 1);
         fleet.play(60s);
@@ -62,34 +62,34 @@
     }
 }
 
-TEST_CASE("Retry budget of a fleet, all daemons killed again and again, is kept")
+TEST_CASE("Retry budget of a fleet, all daemons killed repeatedly, is kept")
 {
-    keepsToBudget({ .killAll = 0.4 });
+    checkBudgetKept({ .killAll = 0.4 });
 }
 
-TEST_CASE("Retry budget of a fleet, six in ten killed again and again, is kept")
+TEST_CASE("Retry budget of a fleet, six in ten daemons killed repeatedly, is kept")
 {
-    keepsToBudget({ .killSome = 0.5 });
+    checkBudgetKept({ .killSome = 0.5 });
 }
 
-TEST_CASE("Retry budget of a fleet, daemons killed at times, is kept")
+TEST_CASE("Retry budget of a fleet, daemons killed occasionally, is kept")
 {
-    keepsToBudget({ .killAll = 0.04, .killSome = 0.05 });
+    checkBudgetKept({ .killAll = 0.04, .killSome = 0.05 });
 }
 
-TEST_CASE("Retry budget of a fleet, daemons cut off from the store while others are killed and added, is kept")
+TEST_CASE("Retry budget of a fleet, daemons partitioned from the store while others are killed and added, is kept")
 {
-    keepsToBudget({ .killSome = 0.05, .cutFromStore = 0.02, .join = 0.1 });
+    checkBudgetKept({ .killSome = 0.05, .cutFromStore = 0.02, .join = 0.1 });
 }
 
-TEST_CASE("Retry budget of a fleet, repeats that arrive seconds late, is kept")
+TEST_CASE("Retry budget of a fleet, retries that arrive seconds late, is kept")
 {
-    keepsToBudget({ .killSome = 0.05, .holdUp = 0.05 });
+    checkBudgetKept({ .killSome = 0.05, .holdUp = 0.05 });
 }
 
-TEST_CASE("Retry budget of a fleet, parts that begin anew with each process, is broken by kills in series")
+TEST_CASE("Retry budget of a fleet, shares that restart with each process, is exceeded after repeated kills")
 {
-    RetryFleet fleet(pressing(3.0, { .killAll = 0.4 }), RetryWay::EvenFromStart, 1);
+    RetryFleet fleet(saturatedScenario(3.0, { .killAll = 0.4 }), RetryWay::EvenFromStart, 1);
     fleet.play(60s);
     CHECK(fleet.worstExcess() > 0);
 }
--- a/tests/gateway/run_move_tests.cpp
+++ b/tests/gateway/run_move_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Streams whose engine is ordered to move them elsewhere.
+// Streams that are moved to another engine because their engine shuts down.
 
 #include "support/moving_engines.h"
 
@@ -13,18 +13,18 @@
 
 namespace {
 
-/// The engine that is asked first ends soon.
+/// The engine that is asked first announces its end.
 class MoveFixture : public MovingEngines
 {
 public:
-    SeenAnswer askWhileOneEnds(const std::function<void()> &onceMoved = [] {})
+    SeenAnswer askWhileEngineEnds(const std::function<void()> &afterMove = [] {})
     {
         RawCaller caller(address());
         const std::size_t first = beginStream(caller);
         source = engines[first]->address();
         announceEnd("u" + std::to_string(first), source);
         tickUntilOrdered();
-        onceMoved();
+        afterMove();
         return caller.receive();
     }
 
@@ -33,39 +33,39 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(MoveFixture, "Run move, engine that announces its end, has its stream continued from moved memory")
+TEST_CASE_FIXTURE(MoveFixture, "Run move, engine that announces its end, has its stream continued from the moved state")
 {
-    const SeenAnswer answer = askWhileOneEnds();
+    const SeenAnswer answer = askWhileEngineEnds();
     CHECK(answer.whole);
     CHECK(answer.body == events(1, 6));
     CHECK(continuedFrom == source + "/h7");
 }
 
-TEST_CASE_FIXTURE(MoveFixture, "Run move, run that stopped but was not copied, goes on where it was")
+TEST_CASE_FIXTURE(MoveFixture, "Run move, run that stopped but was not copied, continues at its first engine")
 {
     moveAnswer = "HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\nh7";
-    const SeenAnswer answer = askWhileOneEnds();
+    const SeenAnswer answer = askWhileEngineEnds();
     CHECK(answer.whole);
     CHECK(answer.body == events(1, 6));
     CHECK(continuedFrom == source + "/h7");
     CHECK(continuedAt == source);
 }
 
-TEST_CASE_FIXTURE(MoveFixture, "Run move, move that fails, leaves the stream visibly incomplete")
+TEST_CASE_FIXTURE(MoveFixture, "Run move, failed move, leaves the stream visibly incomplete")
 {
     moveAnswer = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-    const SeenAnswer answer = askWhileOneEnds();
+    const SeenAnswer answer = askWhileEngineEnds();
     CHECK_FALSE(answer.whole);
     CHECK(answer.body == events(1, 3));
     CHECK(continuedFrom.empty());
 }
 
-TEST_CASE_FIXTURE(MoveFixture, "Run move, moved stream that its new engine refuses, is visibly incomplete and not run again")
+TEST_CASE_FIXTURE(MoveFixture, "Run move, moved stream refused by its new engine, is visibly incomplete and not run again")
 {
     ScriptedUpstream third(
         [](const SeenRequest &request) { return ScriptedAnswer{ streamHead(idOf(request)) + eventChunk(1, 6) + lastChunk }; });
     refusing = true;
-    const SeenAnswer answer = askWhileOneEnds([&] { addUpstream("u2", third.address()); });
+    const SeenAnswer answer = askWhileEngineEnds([&] { addUpstream("u2", third.address()); });
     CHECK_FALSE(answer.whole);
     CHECK(answer.body == events(1, 3));
     CHECK(third.seen().empty());
--- a/tests/gateway/saved_repeats_tests.cpp
+++ b/tests/gateway/saved_repeats_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Upstreams got more repeats than the budget of the system allows when daemons had saved credit before their requests failed.
+// Guards against more retries than the budget of the fleet allows after daemons saved credit while no request failed.
 
 #include "support/gateway_site.h"
 #include "support/retry_fleet.h"
@@ -18,21 +18,21 @@
 constexpr unsigned seeds = 5;
 constexpr auto calm = 20s;
 constexpr double failuresFrom = 20;
-// Repeats allowed besides, for each daemon.
-constexpr double fixedForEach = 2.6;
+// Retries for each daemon in addition to those earned by its requests.
+constexpr double extraRetriesPerDaemon = 2.6;
 
 class CalmFleetFixture
 {
 public:
-    /// Plays @p scenario at fleets of all sizes, busy and quiet.
-    static void keepsToBudget(RetryScenario scenario)
+    /// Plays @p scenario with fleets of three sizes at a low and a high request rate.
+    static void checkBudgetKept(RetryScenario scenario)
     {
         scenario.calm = calm;
         scenario.attempts = 3;
         for (const unsigned daemons : { 8U, 61U, 300U }) {
             for (const double requestsPerSecond : { 0.2, 3.0 }) {
                 scenario.daemons = daemons;
-                scenario.fixedNumber = fixedForEach * daemons;
+                scenario.fixedNumber = extraRetriesPerDaemon * daemons;
                 scenario.requestsPerSecond = requestsPerSecond;
                 for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
                     play(scenario, seed);
@@ -54,7 +54,7 @@
     }
 };
 
-/// Two daemons before upstreams that fail each request from a moment on.
+/// Two daemons with common upstreams that fail every request once `failing` is set.
 class MovingCallersFixture
 {
 public:
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Sends so many requests and gives the arrivals beyond the first of each.
-    std::size_t repeatsOf(GatewaySite &daemon, std::size_t requests)
+    /// Sends @p requests and returns the number of retries that arrived.
+    std::size_t retriesOf(GatewaySite &daemon, std::size_t requests)
     {
         const std::size_t before = arrivals();
         for (std::size_t index = 0; index < requests; ++index) {
@@ -102,57 +102,57 @@
 } // namespace
 
 TEST_CASE_FIXTURE(MovingCallersFixture,
-                  "Two daemons, callers that move to the other as requests begin to fail, keep to one budget")
+                  "Two daemons, callers that move to the other when requests begin to fail, keep to one budget")
 {
     constexpr std::size_t requests = 100;
-    CHECK(repeatsOf(first, requests) == 0);
-    const Suspension calmGoesOn(9500ms);
+    CHECK(retriesOf(first, requests) == 0);
+    const Suspension calmPeriod(9500ms);
     failing = true;
-    const std::size_t saved = repeatsOf(first, requests);
-    const Suspension callersMove(1s);
-    const std::size_t earnedAnew = repeatsOf(second, requests);
-    CHECK(saved > 0);
-    CHECK(earnedAnew > 0);
-    // Twice as many requests lie in the window that begins with the failures.
-    CHECK(saved + earnedAnew <= 2 * requests / 5);
+    const std::size_t savedRetries = retriesOf(first, requests);
+    const Suspension callerMoveTime(1s);
+    const std::size_t newRetries = retriesOf(second, requests);
+    CHECK(savedRetries > 0);
+    CHECK(newRetries > 0);
+    // The window that begins with the failures holds the requests of both daemons.
+    CHECK(savedRetries + newRetries <= 2 * requests / 5);
 }
 
 TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, all daemons killed once while all requests fail, is kept")
 {
-    keepsToBudget({ .events = { .killAll = failuresFrom + 2.5 } });
+    checkBudgetKept({ .events = { .killAll = failuresFrom + 2.5 } });
 }
 
-TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, all daemons killed in series, is kept")
+TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, all daemons killed repeatedly, is kept")
 {
-    keepsToBudget({ .troubles = { .killAll = 0.4 } });
+    checkBudgetKept({ .troubles = { .killAll = 0.4 } });
 }
 
-TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, daemons started anew one after the other, is kept")
+TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, daemons restarted one after the other, is kept")
 {
-    keepsToBudget({ .events = { .roll = failuresFrom + 1 } });
+    checkBudgetKept({ .events = { .roll = failuresFrom + 1 } });
 }
 
 TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, callers that move to other data centres, is kept")
 {
-    keepsToBudget({ .events = { .shift = failuresFrom + 3 } });
+    checkBudgetKept({ .events = { .shift = failuresFrom + 3 } });
 }
 
 TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, callers that move from daemon to daemon, is kept")
 {
-    keepsToBudget({ .events = { .wander = failuresFrom + 1 } });
+    checkBudgetKept({ .events = { .wander = failuresFrom + 1 } });
 }
 
-TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, traffic that rises and falls by ten, is kept")
+TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, traffic that rises and falls by a factor of ten, is kept")
 {
-    keepsToBudget({ .swing = 10, .events = { .killAll = failuresFrom + 2.5 } });
+    checkBudgetKept({ .swing = 10, .events = { .killAll = failuresFrom + 2.5 } });
 }
 
-TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, repeats held up for seconds while callers move, is kept")
+TEST_CASE_FIXTURE(CalmFleetFixture, "Retry budget after a calm, retries delayed by seconds while callers move, is kept")
 {
-    keepsToBudget({ .troubles = { .holdUp = 0.2 }, .events = { .shift = failuresFrom + 4 } });
+    checkBudgetKept({ .troubles = { .holdUp = 0.2 }, .events = { .shift = failuresFrom + 4 } });
 }
 
-TEST_CASE("Retry budget after a calm, credit counted over a window behind each daemon, is broken by callers that move")
+TEST_CASE("Retry budget after a calm, credit counted over a sliding window of each daemon, is exceeded when callers move")
 {
     RetryFleet fleet({ .requestsPerSecond = 3, .calm = calm, .events = { .shift = failuresFrom + 3 } }, RetryWay::SlidingWindow,
                      1);
--- a/tests/gateway/stop_tests.cpp
+++ b/tests/gateway/stop_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What a daemon takes once it was ordered to stop: nothing that it may have to cut off.
+// A stopping daemon accepts only requests that end before the daemon does.
 
 #include "support/eventually.h"
 #include "support/gateway_site.h"
@@ -17,16 +17,16 @@
 
 namespace {
 
-constexpr std::chrono::minutes stopLasts{ 10 };
-// A token takes an idle engine a little over 3 ms.
-constexpr unsigned tokensInStop = std::chrono::milliseconds(stopLasts).count() / 3;
+constexpr std::chrono::minutes stopDuration{ 10 };
+// An idle engine takes a little over 3 ms per token.
+constexpr unsigned tokensInStop = std::chrono::milliseconds(stopDuration).count() / 3;
 
-std::string tokensOut(unsigned most)
+std::string tokensOut(unsigned maxTokens)
 {
-    return fmt::format("X-Token-Counts: 1000,{}\r\n", most);
+    return fmt::format("X-Token-Counts: 1000,{}\r\n", maxTokens);
 }
 
-/// A daemon in the first moment of its stop, whose requests may last longer than that.
+/// A daemon at the beginning of its stop, with routes whose time-out is longer than the stop.
 class StoppingFixture : public GatewaySite
 {
 public:
@@ -41,7 +41,7 @@
         addUpstream("u1", upstream.address());
         onLoop([](Gateway &gateway) {
             const SteadyTime now = BootClock::now();
-            gateway.beginDrain({ now + stopLasts / 2, now + stopLasts });
+            gateway.beginDrain({ now + stopDuration / 2, now + stopDuration });
         });
     }
 
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(StoppingFixture, "Stopping daemon, stream predicted to last far beyond its end, is refused as not run")
+TEST_CASE_FIXTURE(StoppingFixture, "Stopping daemon, stream predicted to end far beyond the stop, is refused as not run")
 {
     const SeenAnswer answer = ask("/stream/a", "id1", tokensOut(tokensInStop * 2));
     CHECK(answer.status == 503);
@@ -58,13 +58,13 @@
     CHECK(upstream.seen().empty());
 }
 
-TEST_CASE_FIXTURE(StoppingFixture, "Stopping daemon, stream that will end long before it, is served")
+TEST_CASE_FIXTURE(StoppingFixture, "Stopping daemon, stream predicted to end long before the stop, is served")
 {
     CHECK(ask("/stream/a", "id1", tokensOut(tokensInStop / 10)).whole);
     CHECK(upstream.seen().size() == 1);
 }
 
-TEST_CASE_FIXTURE(StoppingFixture, "Stopping daemon, relayed stream that may last longer, is refused as not run")
+TEST_CASE_FIXTURE(StoppingFixture, "Stopping daemon, relayed stream that may outlast the stop, is refused as not run")
 {
     const SeenAnswer answer = askAsDaemon("/stream/a", "id1", tokensOut(tokensInStop / 10));
     CHECK(answer.status == 503);
@@ -73,7 +73,7 @@
     CHECK(upstream.seen().empty());
 }
 
-TEST_CASE_FIXTURE(StoppingFixture, "Stopping daemon, relayed stream that must end before it, is served")
+TEST_CASE_FIXTURE(StoppingFixture, "Stopping daemon, relayed stream bound to end before the stop, is served")
 {
     CHECK(askAsDaemon("/stream/a", "id1", tokensOut(100) + "X-Request-Timeout-Ms: 20000\r\n").whole);
 }
@@ -97,7 +97,8 @@
     CHECK(upstream.seen().size() == 1);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Stopping daemon, late in its stop, takes only what ends in time and refuses the rest as not run")
+TEST_CASE_FIXTURE(GatewaySite,
+                  "Stopping daemon, late in its stop, accepts only requests that end in time and refuses others as not run")
 {
     ScriptedUpstream upstream(echo);
     addUpstream("u1", upstream.address());
--- a/tests/gateway/store_client_tests.cpp
+++ b/tests/gateway/store_client_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The client of the platform's store against a server that answers as its protocol says.
+// The client of the platform store against a scripted server that speaks the store protocol.
 
 #include "platform/base64.h"
 #include "platform/store_client.h"
@@ -27,7 +27,7 @@
     };
 }
 
-/// A store that answers as each test scripts it.
+/// A store server whose answers are scripted by each test.
 class StoreFixture
 {
 public:
@@ -40,7 +40,7 @@
 
     ~StoreFixture()
     {
-        // A server that has not begun to listen would not notice the stop.
+        // A stop before the server listens would be lost.
         eventually([this] { return server.is_running(); });
         server.stop();
         thread.join();
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(StoreFixture, "Store client, listing in pages, gives all items and the first page's revision")
+TEST_CASE_FIXTURE(StoreFixture, "Store client, listing in pages, returns all items and the revision of the first page")
 {
     server.Get("/v1/kv-range", [](const httplib::Request &request, httplib::Response &response) {
         const bool first = !request.has_param("after");
@@ -75,7 +75,7 @@
     CHECK(valueOf(listing).revision == 10);
 }
 
-TEST_CASE_FIXTURE(StoreFixture, "Store client, changes, tell writes and removals")
+TEST_CASE_FIXTURE(StoreFixture, "Store client, changes, distinguish writes and removals")
 {
     server.Get("/v1/kv-watch", [](const httplib::Request &request, httplib::Response &response) {
         CHECK(request.get_param_value("after") == "7");
@@ -91,7 +91,7 @@
     CHECK(valueOf(changes).revision == 9);
 }
 
-TEST_CASE_FIXTURE(StoreFixture, "Store client, refusals, become errors that say what they mean")
+TEST_CASE_FIXTURE(StoreFixture, "Store client, error statuses, become the matching error codes")
 {
     int status = 0;
     server.Get("/v1/kv-watch", [&](const httplib::Request &, httplib::Response &response) { response.status = status; });
@@ -105,7 +105,7 @@
     CHECK(code(503) == ErrorCode::PlatformUnavailable);
 }
 
-TEST_CASE_FIXTURE(StoreFixture, "Store client, leases and writes, use the calls of the protocol")
+TEST_CASE_FIXTURE(StoreFixture, "Store client, leases and writes, use the endpoints of the protocol")
 {
     Json written;
     server.Post("/v1/kv-lease", [](const httplib::Request &request, httplib::Response &response) {
@@ -128,7 +128,7 @@
     CHECK(decodeBase64(written.at("puts").at(0).at("value")) == "value");
 }
 
-TEST_CASE_FIXTURE(StoreFixture, "Store client, answer that is no JSON, may have been carried out")
+TEST_CASE_FIXTURE(StoreFixture, "Store client, write answered without JSON, may have run")
 {
     server.Post("/v1/kv-txn",
                 [](const httplib::Request &, httplib::Response &response) { response.set_content("?", "text/plain"); });
@@ -137,7 +137,7 @@
     CHECK(errorOf(result).run == RunState::MayHaveRun);
 }
 
-TEST_CASE_FIXTURE(StoreFixture, "Store client, call that waits, is ended by an interruption from another thread")
+TEST_CASE_FIXTURE(StoreFixture, "Store client, waiting call, is ended by an interruption from another thread")
 {
     std::atomic<bool> waiting{ false };
     std::atomic<bool> release{ false };
--- a/tests/gateway/store_following_tests.cpp
+++ b/tests/gateway/store_following_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Following the store over outages, by itself and by way of other daemons, and the record that a daemon keeps there.
+// Watching the store over outages, directly and through other daemons, and the record of a daemon there.
 
 #include "portpaddle/fleet/change_feed.h"
 #include "portpaddle/fleet/feed_server.h"
@@ -27,7 +27,7 @@
 
 namespace {
 
-/// Remembers what a follower told.
+/// Records the notifications of a watcher.
 class RecordingListener : public WatchListener
 {
 public:
@@ -55,12 +55,12 @@
 
     void onStoreUnavailable(const Error &) override
     {
-        ++losses;
+        ++unavailableCount;
     }
 
     void onStoreAvailable() override
     {
-        ++returns;
+        ++availableCount;
     }
 
     void receivedFromPeer(const std::vector<KeyValue> &items) override
@@ -80,64 +80,64 @@
     std::mutex mutex;
     std::set<std::string> keys;
     std::atomic<unsigned> listings{ 0 };
-    std::atomic<unsigned> losses{ 0 };
-    std::atomic<unsigned> returns{ 0 };
+    std::atomic<unsigned> unavailableCount{ 0 };
+    std::atomic<unsigned> availableCount{ 0 };
 };
 
-/// A store that holds one key, and a follower of it.
-class FollowedStoreFixture
+/// A store that holds one key, and a watcher.
+class WatchedStoreFixture
 {
 public:
-    FollowedStoreFixture()
+    WatchedStoreFixture()
     {
         store.set("p/a", "1");
     }
 
-    /// Starts a follower that knows the key.
-    void follow(WatchedStore *verifier = nullptr)
+    /// Starts a watcher and waits until it has reported the key.
+    void startWatcher(WatchedStore *verifier = nullptr)
     {
-        follower.emplace("p/", store, listener, nullptr, verifier);
-        follower->start();
+        watcher.emplace("p/", store, listener, nullptr, verifier);
+        watcher->start();
         CHECK(eventually([&] { return listener.has("p/a"); }));
     }
 
     ScriptedStore store;
     RecordingListener listener;
-    std::optional<StoreWatcher> follower;
+    std::optional<StoreWatcher> watcher;
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(FollowedStoreFixture, "Key follower, store that fails and returns, misses no change")
+TEST_CASE_FIXTURE(WatchedStoreFixture, "Store watcher, store that fails and recovers, misses no change")
 {
-    follow();
+    startWatcher();
     store.setFailing(true);
-    CHECK(eventually([&] { return listener.losses == 1; }));
+    CHECK(eventually([&] { return listener.unavailableCount == 1; }));
     store.set("p/b", "1");
     store.setFailing(false);
-    CHECK(eventually([&] { return listener.has("p/b") && listener.returns == 2; }));
+    CHECK(eventually([&] { return listener.has("p/b") && listener.availableCount == 2; }));
     CHECK(listener.listings == 1);
 }
 
-TEST_CASE_FIXTURE(FollowedStoreFixture, "Key follower, answer of a waiting call that was lost, is noticed and asked for again")
+TEST_CASE_FIXTURE(WatchedStoreFixture, "Store watcher, lost answer of a waiting call, is noticed and requested again")
 {
-    follow(&store);
+    startWatcher(&store);
     store.loseNextAnswer();
     store.set("p/b", "1");
     CHECK(eventually([&] { return listener.has("p/b"); }));
 }
 
-TEST_CASE_FIXTURE(FollowedStoreFixture, "Key follower, history that the store forgot, lists again")
+TEST_CASE_FIXTURE(WatchedStoreFixture, "Store watcher, compacted history, lists again")
 {
-    follow();
+    startWatcher();
     store.forgetHistory();
     store.remove("p/a");
     store.set("p/b", "1");
     CHECK(eventually([&] { return listener.has("p/b") && !listener.has("p/a"); }));
-    CHECK(listener.losses == 0);
+    CHECK(listener.unavailableCount == 0);
 }
 
-TEST_CASE("Key follower, store away from the start, takes what a peer hands on and then the store's own list")
+TEST_CASE("Store watcher, store unavailable from the start, uses the state of a peer and then the list of the store")
 {
     httplib::Server peer;
     peer.Get(statePath, [](const httplib::Request &, httplib::Response &response) {
@@ -152,16 +152,16 @@
     store.set("p/own", "1");
     store.setFailing(true);
     RecordingListener listener;
-    StoreWatcher follower("p/", store, listener, &peers);
-    follower.start();
+    StoreWatcher watcher("p/", store, listener, &peers);
+    watcher.start();
     CHECK(eventually([&] { return listener.has("p/known"); }));
     store.setFailing(false);
     CHECK(eventually([&] { return listener.has("p/own") && !listener.has("p/known"); }));
-    follower.stop();
+    watcher.stop();
     peer.stop();
 }
 
-TEST_CASE("Fleet state, bytes of a hostile peer, are refused or harmless")
+TEST_CASE("Fleet state, bytes of a hostile peer, are rejected or harmless")
 {
     rc::check([](const std::string &bytes) { (void)decodeChanges(bytes, BootClock::now()); });
     const auto decoded = decodeChanges(encodeState("d", { { "k", "v", 7 } }, {}), BootClock::now());
@@ -169,7 +169,7 @@
     CHECK(valueOf(decoded).changes.at(0).item.revision == 7);
 }
 
-TEST_CASE("Daemon registration, lease that ran out, enters again and leaves in the end")
+TEST_CASE("Daemon registration, expired lease, registers again and is removed on withdrawal")
 {
     ScriptedStore store;
     DaemonRegistration registration(
@@ -189,7 +189,7 @@
     CHECK_FALSE(store.has(key));
 }
 
-TEST_CASE("Daemon registration, not ready yet, does not enter")
+TEST_CASE("Daemon registration, not ready yet, does not register")
 {
     ScriptedStore store;
     std::atomic<bool> ready{ false };
@@ -203,18 +203,18 @@
 
 namespace {
 
-/// A daemon that hands on what a feed holds.
+/// A daemon that serves the changes of a feed to other daemons.
 class FeedSource
 {
 public:
     FeedSource()
     {
         server_.Get(changesPath, [this](const httplib::Request &request, httplib::Response &response) {
-            const FeedUpdate news = feed.since(std::stoull(request.get_param_value("after")));
-            if (news.changes.empty() && news.reachable) {
+            const FeedUpdate update = feed.since(std::stoull(request.get_param_value("after")));
+            if (update.changes.empty() && update.reachable) {
                 std::this_thread::sleep_for(5ms);
             }
-            response.set_content(encodeChanges("source", news), "application/octet-stream");
+            response.set_content(encodeChanges("source", update), "application/octet-stream");
         });
         server_.Get(statePath, [this](const httplib::Request &, httplib::Response &response) {
             response.set_content(encodeState("source", items, feed.since(0)), "application/octet-stream");
@@ -248,7 +248,7 @@
     return { { key, "1", revision }, false };
 }
 
-/// A daemon that follows one source, beside the store itself.
+/// A relayed store with one source besides the store itself.
 class RelayFixture
 {
 public:
@@ -266,7 +266,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(RelayFixture, "Relayed store, source that is well, hands on changes without a call to the store")
+TEST_CASE_FIXTURE(RelayFixture, "Relayed store, healthy source, relays changes without a call to the store")
 {
     source.feed.add({ write("k", 6), { { "gone", "", 7 }, true } }, 7, BootClock::now());
     const auto changes = relayed.follow("", 5, 100ms);
@@ -278,7 +278,7 @@
     CHECK(store.calls() == 0);
 }
 
-TEST_CASE_FIXTURE(RelayFixture, "Relayed store, source that has long had no answer of the store, is left for the store")
+TEST_CASE_FIXTURE(RelayFixture, "Relayed store, source without a recent answer of the store, is replaced by the store")
 {
     source.feed.restart(5, BootClock::now() - 10s);
     store.set("k", "1");
@@ -288,7 +288,7 @@
     CHECK(store.calls() == 1);
 }
 
-TEST_CASE_FIXTURE(RelayFixture, "Relayed store, source and store lost, does not call the store with every try")
+TEST_CASE_FIXTURE(RelayFixture, "Relayed store, source and store unavailable, does not call the store on every attempt")
 {
     source.feed.setReachable(false);
     store.setFailing(true);
@@ -298,7 +298,7 @@
     CHECK(store.calls() == 1);
 }
 
-TEST_CASE_FIXTURE(RelayFixture, "Relayed store, source that knows less than this daemon, is not listed from")
+TEST_CASE_FIXTURE(RelayFixture, "Relayed store, source behind this daemon, is not used for a listing")
 {
     source.items = { { "old", "1", 4 } };
     store.set("new", "1");
@@ -309,15 +309,14 @@
     CHECK(valueOf(listing).items[0].key == "new");
 }
 
-TEST_CASE_FIXTURE(RelayFixture, "Relayed store, source that forgot the changes asked for, says that history is gone")
+TEST_CASE_FIXTURE(RelayFixture, "Relayed store, source without the requested changes, reports a compacted history")
 {
     const auto changes = relayed.follow("", 3, 10ms);
     REQUIRE_FALSE(isOk(changes));
     CHECK(errorOf(changes).code == ErrorCode::HistoryCompacted);
 }
 
-TEST_CASE_FIXTURE(RelayFixture,
-                  "Relayed store, one source ahead that forgot and one that missed the same changes, lists from the one ahead")
+TEST_CASE_FIXTURE(RelayFixture, "Relayed store, one source ahead with compacted history and one behind, lists from the one ahead")
 {
     FeedSource behind;
     behind.feed.restart(5, BootClock::now());
@@ -328,13 +327,13 @@
     for (const bool aheadFirst : { true, false }) {
         role.sources
             = aheadFirst ? std::vector{ source.address(), behind.address() } : std::vector{ behind.address(), source.address() };
-        // In turns: within two calls the one ahead is asked first.
-        bool gone = false;
+        // Sources take turns: one of two calls asks the one ahead first.
+        bool compacted = false;
         for (int call = 0; call < 2; ++call) {
             const auto changes = relayed.follow("", 5, 10ms);
-            gone = gone || (!isOk(changes) && errorOf(changes).code == ErrorCode::HistoryCompacted);
+            compacted = compacted || (!isOk(changes) && errorOf(changes).code == ErrorCode::HistoryCompacted);
         }
-        CHECK(gone);
+        CHECK(compacted);
         const auto listing = relayed.listAll("", ReadFreshness::Newest);
         REQUIRE(isOk(listing));
         REQUIRE(valueOf(listing).items.size() == 1);
@@ -343,29 +342,29 @@
     CHECK(store.calls() == 0);
 }
 
-TEST_CASE("Following, many daemons of a region by way of few, misses no change and calls the store no more often than those few")
+TEST_CASE("Store watcher, many daemons with one source, misses no change and calls the store no more often than that source")
 {
     constexpr int changes = 20;
     ScriptedStore store;
     store.set("k0", "1");
     FeedSource source;
     RecordingListener direct;
-    StoreWatcher follower("", store, direct);
-    follower.setCoalescingDelay(5ms);
-    follower.setFeed(&source.feed);
-    follower.start();
+    StoreWatcher watcher("", store, direct);
+    watcher.setCoalescingDelay(5ms);
+    watcher.setFeed(&source.feed);
+    watcher.start();
     REQUIRE(eventually([&] { return direct.has("k0"); }));
     source.items = { { "k0", "1", 1 } };
 
     const FollowRole role{ false, { source.address() } };
     std::vector<std::unique_ptr<RelayedStore>> stores;
     std::vector<std::unique_ptr<RecordingListener>> listeners;
-    std::vector<std::unique_ptr<StoreWatcher>> followers;
+    std::vector<std::unique_ptr<StoreWatcher>> watchers;
     for (int index = 0; index < 6; ++index) {
         stores.push_back(std::make_unique<RelayedStore>(store, [&] { return role; }));
         listeners.push_back(std::make_unique<RecordingListener>());
-        followers.push_back(std::make_unique<StoreWatcher>("", *stores.back(), *listeners.back()));
-        followers.back()->start();
+        watchers.push_back(std::make_unique<StoreWatcher>("", *stores.back(), *listeners.back()));
+        watchers.back()->start();
     }
     REQUIRE(eventually([&] {
         return std::all_of(listeners.begin(), listeners.end(), [](const auto &listener) { return listener->has("k0"); });
@@ -382,22 +381,22 @@
     for (const auto &listener : listeners) {
         CHECK(listener->keys.size() == changes + 1);
     }
-    follower.stop();
-    // One waiting call for each change at most, and those that ended without one.
+    watcher.stop();
+    // At most one waiting call for each change, and the calls that ended without a change.
     CHECK(store.calls() - before < 6 * changes);
-    for (const auto &each : followers) {
+    for (const auto &each : watchers) {
         each->stop();
     }
 }
 
-TEST_CASE_FIXTURE(RelayFixture, "Following, source lost and then the answer of the store too, is noticed and asked for again")
+TEST_CASE_FIXTURE(RelayFixture, "Store watcher, source lost and then the answer of the store, notices it and requests it again")
 {
     source.items = { { "k0", "1", 1 } };
     source.feed.restart(1, BootClock::now());
     store.set("k0", "1");
     RecordingListener listener;
-    StoreWatcher follower("", relayed, listener, nullptr, &store);
-    follower.start();
+    StoreWatcher watcher("", relayed, listener, nullptr, &store);
+    watcher.start();
     REQUIRE(eventually([&] { return listener.has("k0"); }));
     source.feed.add({ write("k1", 2) }, 2, BootClock::now());
     REQUIRE(eventually([&] { return listener.has("k1"); }));
@@ -406,32 +405,32 @@
     store.set("k1", "1");
     store.set("k2", "1");
     CHECK(eventually([&] { return listener.has("k2"); }));
-    // Ends the call that hangs where it was not noticed.
+    // Ends the call that hangs if the loss was not noticed.
     relayed.interrupt();
 }
 
-TEST_CASE("Follow role, daemons of a large region, three follow the store and all others the same three")
+TEST_CASE("Follow role, large region, three daemons follow the store and all others follow these three")
 {
     FleetView view;
     for (int index = 0; index < 40; ++index) {
         view.daemons.push_back(daemonIn("d" + std::to_string(index), "north"));
     }
     std::set<std::string> direct;
-    std::set<std::vector<std::string>> firsts;
+    std::set<std::vector<std::string>> firstSources;
     for (const DaemonRecord &daemon : view.daemons) {
         const FollowRole role = followRole(view, daemon.id, "north");
         if (role.direct) {
             direct.insert(daemon.linkAddress);
         } else {
-            firsts.insert({ role.sources.begin(), role.sources.begin() + 3 });
+            firstSources.insert({ role.sources.begin(), role.sources.begin() + 3 });
         }
     }
     CHECK(direct.size() == 3);
-    REQUIRE(firsts.size() == 1);
-    CHECK(std::set(firsts.begin()->begin(), firsts.begin()->end()) == direct);
+    REQUIRE(firstSources.size() == 1);
+    CHECK(std::set(firstSources.begin()->begin(), firstSources.begin()->end()) == direct);
 }
 
-TEST_CASE("Follow role, small fleet, each daemon follows the store by itself")
+TEST_CASE("Follow role, small fleet, each daemon follows the store directly")
 {
     FleetView view;
     for (int index = 0; index < 7; ++index) {
--- a/tests/gateway/suspension_tests.cpp
+++ b/tests/gateway/suspension_tests.cpp
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// A VM may be suspended for seconds. std::chrono::steady_clock stands still meanwhile, as Linux has it, while leases run out at
-// the store, callers leave and other daemons take over. A daemon that counted by it took up its work as if no time had passed: it
-// handed upstreams time that their callers did not have any more, held its lease for valid and other daemons for heard. Evidence:
-// with the clocks of a suspended VM none of these cases noticed that time had passed.
+// Guards against a daemon that does not notice the suspension of its VM. On Linux std::chrono::steady_clock does not advance
+// meanwhile, while leases expire at the store, callers leave and other daemons take over. A daemon that used that clock gave
+// upstreams time that their callers no longer had, and took its lease for valid and other daemons for alive. With the clocks of
+// a suspended VM it did not notice the elapsed time in any case below.
 
 #include "support/gateway_site.h"
 #include "support/scripted_store.h"
@@ -25,10 +25,10 @@
 
 namespace {
 
-// Longer than any wait of the daemon, so that no verdict depends on how fast this machine is.
-constexpr auto suspended = 1h;
+// Longer than any time-out of the daemon, so that no result depends on the speed of the machine.
+constexpr auto suspensionTime = 1h;
 
-/// Takes a request and never answers it.
+/// Accepts a request and never answers it.
 ScriptedAnswer hang(const SeenRequest &)
 {
     ScriptedAnswer answer;
@@ -51,12 +51,12 @@
 
 } // namespace
 
-TEST_CASE("Clock of the daemon, VM suspended, counts the time")
+TEST_CASE("Clock of the daemon, VM suspended, includes the suspension")
 {
     const SystemClock clock;
     const Millis before = clock.monotonic();
-    const Suspension suspension(suspended);
-    CHECK(clock.monotonic() - before >= suspended);
+    const Suspension suspension(suspensionTime);
+    CHECK(clock.monotonic() - before >= suspensionTime);
 }
 
 TEST_CASE_FIXTURE(SlowRouteSite, "Request in progress, VM suspended beyond its deadline, is answered at once")
@@ -68,21 +68,21 @@
     while (upstream.seen().empty()) {
         std::this_thread::yield();
     }
-    const Suspension suspension(suspended);
+    const Suspension suspension(suspensionTime);
     CHECK(caller.receive().status == 504);
 }
 
-TEST_CASE_FIXTURE(GatewaySite, "Kept connection, VM suspended for longer than it is kept, is not used again")
+TEST_CASE_FIXTURE(GatewaySite, "Kept connection, VM suspended beyond the idle time-out, is not reused")
 {
     ScriptedUpstream upstream(echo);
     addUpstream("u1", upstream.address());
     REQUIRE(ask("/plain/a", "id1").status == 200);
-    const Suspension suspension(suspended);
+    const Suspension suspension(suspensionTime);
     CHECK(ask("/plain/a", "id2").status == 200);
     CHECK(upstream.connections() == 2);
 }
 
-TEST_CASE("Another daemon, VM suspended since it was heard, counts as silent")
+TEST_CASE("Another daemon, VM suspended since its last digest, counts as silent")
 {
     RegionTable regions;
     regions.setOwnRegion("north");
@@ -100,11 +100,11 @@
     digest.phase = Wire::DaemonPhase::Serving;
     regions.applyDigest(digest, before);
     REQUIRE_FALSE(regions.fellSilent("e", SteadyTime::clock::now()));
-    const Suspension suspension(suspended);
+    const Suspension suspension(suspensionTime);
     CHECK(regions.fellSilent("e", SteadyTime::clock::now()));
 }
 
-TEST_CASE("Daemon's lease, VM suspended for longer than it lasts, is renewed or taken anew before anything else")
+TEST_CASE("Daemon's lease, VM suspended beyond its expiry, is renewed or granted anew first")
 {
     ScriptedStore store;
     DaemonRecord record;
@@ -117,10 +117,10 @@
     }
     const unsigned calls = store.calls();
     store.endAllLeases();
-    const Suspension suspension(suspended);
-    // By a clock that stood still the next renewal is 6.5 s away; this waits for less, by that clock.
-    const auto from = std::chrono::steady_clock::now();
-    while (store.calls() == calls && std::chrono::steady_clock::now() - from < 5s) {
+    const Suspension suspension(suspensionTime);
+    // By the clock that stood still, the next renewal is due in 6.5 s; this loop waits for less by the same clock.
+    const auto waitStart = std::chrono::steady_clock::now();
+    while (store.calls() == calls && std::chrono::steady_clock::now() - waitStart < 5s) {
         std::this_thread::sleep_for(1ms);
     }
     CHECK(store.calls() > calls);
--- a/tests/gateway/upstream_attempt_tests.cpp
+++ b/tests/gateway/upstream_attempt_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// One sending of a request: what is looked at again once there is a connection, and which answers are told of.
+// One attempt of a request: the check before sending on an open connection, and the answers that are reported.
 
 #include "portpaddle/gateway/upstream_attempt.h"
 #include "portpaddle/net/spawn.h"
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// A caller that takes everything.
-class PatientCaller : public CallerWriter
+/// A caller to whom every write succeeds.
+class AcceptingCaller : public CallerWriter
 {
 public:
     Task<bool> whole(WholeAnswer) override
@@ -42,7 +42,7 @@
     }
 };
 
-/// Sends one request to an upstream.
+/// Runs one attempt against a scripted upstream.
 class AttemptFixture
 {
 public:
@@ -56,7 +56,7 @@
         plan.address = upstream.address();
         plan.expectedUpstream = "u1";
         AttemptCallbacks callbacks;
-        callbacks.maySend = [this] { return takes; };
+        callbacks.maySend = [this] { return upstreamAccepts; };
         callbacks.sending = [this] { sent = true; };
         callbacks.headReceived = [this](const AnswerNotice &notice) { notices.push_back(notice); };
         callbacks.firstEvent = [] {};
@@ -73,20 +73,20 @@
     boost::asio::io_context loop{ 1 };
     ConnectionPool pool{ loop.get_executor() };
     HeaderNames names;
-    PatientCaller caller;
+    AcceptingCaller caller;
     StreamProgress progress;
-    /// What the daemon knows of the upstream once the connection is there.
-    bool takes = true;
+    /// Whether the upstream may still be sent requests once the connection is open.
+    bool upstreamAccepts = true;
     bool sent = false;
     std::vector<AnswerNotice> notices;
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(AttemptFixture, "Attempt, upstream that takes nothing any more once the connection is there, is sent nothing")
+TEST_CASE_FIXTURE(AttemptFixture, "Attempt, upstream excluded while the connection opens, is sent nothing")
 {
     ScriptedUpstream upstream(echo);
-    takes = false;
+    upstreamAccepts = false;
     const AttemptReport report = send(upstream);
     CHECK(report.withheld);
     CHECK_FALSE(report.sent);
@@ -96,7 +96,8 @@
     CHECK(upstream.seen().empty());
 }
 
-TEST_CASE_FIXTURE(AttemptFixture, "Attempt, late answer before its own, is told of both and takes the late one for no proof")
+TEST_CASE_FIXTURE(AttemptFixture,
+                  "Attempt, late answer before its own, reports both and does not count the late one as from the upstream")
 {
     ScriptedUpstream upstream([](const SeenRequest &request) {
         return ScriptedAnswer{ wholeAnswer("earlier", "", "X-Upstream-Leaving: 1\r\n") + wholeAnswer(idOf(request), "") };
@@ -110,7 +111,8 @@
     CHECK(notices[1].fromUpstream);
 }
 
-TEST_CASE_FIXTURE(AttemptFixture, "Attempt, refusal that asks for time, is no word to the caller and none against the upstream")
+TEST_CASE_FIXTURE(AttemptFixture,
+                  "Attempt, refusal with Retry-After, is neither passed to the caller nor an error of the upstream")
 {
     ScriptedUpstream upstream(
         [](const SeenRequest &) { return ScriptedAnswer{ "HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n" }; });
--- a/tests/gateway/upstream_limit_tests.cpp
+++ b/tests/gateway/upstream_limit_tests.cpp
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What users saw: upstreams in need named in their answers how many requests a second they take from all daemons together, and
-// got several times as many: 53 in four seconds from one that had named 2 a second. Nothing read what they named. Evidence: of
-// four engines of one region the two that named limits got 52 and 55 requests in the worst four seconds, the two others 56 and
-// 61; all daemons sent to all of them, before and after the naming alike.
+// Guards against daemons that ignore the limit, in requests per second from all daemons together, which an overloaded upstream
+// names in its answers. An upstream that had named 2 per second got 53 requests in four seconds. Of four engines of one region
+// the two with limits got 52 and 55 requests in the worst four seconds, the others 56 and 61; all daemons sent to all
+// four, before and after the naming alike.
 
 #include "portpaddle/routing/rendezvous.h"
 #include "support/gateway_site.h"
@@ -28,13 +28,13 @@
     return "X-Upstream-Limit: " + value + "\r\n";
 }
 
-std::string namingRefusal(const std::string &value)
+std::string refusalWithLimit(const std::string &value)
 {
     return "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\n" + limitHeader(value) + "Content-Length: 0\r\n\r\n";
 }
 
-/// What a daemon of @p region tells of @p upstream.
-Wire::LoadDigestT newsOf(const std::string &upstream, const std::string &region)
+/// Returns the digest by which a daemon of @p region reports a limit of @p upstream.
+Wire::LoadDigestT limitDigestOf(const std::string &upstream, const std::string &region)
 {
     Wire::LoadDigestT digest;
     digest.daemon = "other";
@@ -44,8 +44,7 @@
     return digest;
 }
 
-/// Two upstreams, of which the first is given the lines of its answers by the test, and a daemon that has been on the list for
-/// some seconds.
+/// Two upstreams, the first with answer headers set by the test, and a daemon that has been listed for some seconds.
 class LimitedUpstreamFixture : public GatewaySite
 {
 public:
@@ -53,17 +52,17 @@
     {
         addUpstream("u1", limited.address());
         addUpstream("u2", other.address());
-        passes(5s);
+        advanceTime(5s);
     }
 
-    /// From now on the daemon has lived for so much longer.
-    void passes(std::chrono::seconds time)
+    /// Advances the clock of the daemon by @p time.
+    void advanceTime(std::chrono::seconds time)
     {
-        later_.push_back(std::make_unique<Suspension>(time));
+        suspensions_.push_back(std::make_unique<Suspension>(time));
         onLoop([](Gateway &gateway) { gateway.tick(); });
     }
 
-    /// Sends requests until the limited upstream has got one more, which a choice by chance between idle ones does soon.
+    /// Sends requests until the limited upstream gets one; the random choice between idle upstreams soon picks it.
     void askUntilItAnswered()
     {
         const std::size_t before = limited.seen().size();
@@ -78,19 +77,19 @@
         return ask("/plain/a", "id" + std::to_string(++asked_));
     }
 
-    /// A daemon of the region that stands before this one for @p upstream.
+    /// Adds a daemon of the region with a higher rendezvous score for @p upstream than this one.
     void addDaemonRankedFirst(const std::string &upstream)
     {
-        const auto draw
+        const auto score
             = [&upstream](const std::string &daemon) { return rendezvousScore(stableHash(upstream), stableHash(daemon), 1); };
         std::string id = "other";
-        while (draw(id) < draw("d")) {
+        while (score(id) < score("d")) {
             id += "x";
         }
         addDaemon(id);
     }
 
-    /// How many of so many requests the limited upstream gets.
+    /// Sends @p requests and returns how many of them the limited upstream gets.
     std::size_t arrivalsOf(unsigned requests)
     {
         const std::size_t before = limited.seen().size();
@@ -100,30 +99,30 @@
         return limited.seen().size() - before;
     }
 
-    void answerWith(const std::string &lines)
+    void answerWith(const std::string &headers)
     {
         const std::lock_guard lock(mutex_);
-        lines_ = lines;
+        headers_ = headers;
     }
 
-    /// What the limited upstream does in place of answering whole, if anything.
+    /// Whether the limited upstream refuses requests and names its limit.
     std::atomic<bool> refuses{ false };
     ScriptedUpstream limited{ [this](const SeenRequest &request) {
         const std::lock_guard lock(mutex_);
-        return ScriptedAnswer{ refuses ? namingRefusal("0.001") : wholeAnswer(idOf(request), request.body, lines_) };
+        return ScriptedAnswer{ refuses ? refusalWithLimit("0.001") : wholeAnswer(idOf(request), request.body, headers_) };
     } };
     ScriptedUpstream other{ echo };
 
 private:
     std::mutex mutex_;
-    std::string lines_;
+    std::string headers_;
     unsigned asked_ = 0;
-    std::vector<std::unique_ptr<Suspension>> later_;
+    std::vector<std::unique_ptr<Suspension>> suspensions_;
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream that names a limit, many requests, gets no more than it takes")
+TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream that names a limit, many requests, gets no more than its limit")
 {
     answerWith(limitHeader("0.001"));
     askUntilItAnswered();
@@ -131,7 +130,7 @@
 }
 
 TEST_CASE_FIXTURE(LimitedUpstreamFixture,
-                  "Upstream that names a limit while it refuses, many requests, gets no more than it takes")
+                  "Upstream that names a limit while it refuses, many requests, gets no more than its limit")
 {
     refuses = true;
     askUntilItAnswered();
@@ -152,38 +151,38 @@
     CHECK(only.seen().size() <= 2);
 }
 
-TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream that names what is no rate, many requests, is asked as before")
+TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream that names an invalid rate, many requests, is sent requests as before")
 {
     answerWith(limitHeader("many") + limitHeader("-1") + limitHeader("nan"));
     askUntilItAnswered();
     CHECK(arrivalsOf(50) >= 10);
 }
 
-TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, later answer without one, is asked again step by step")
+TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, later answer without one, is sent requests again step by step")
 {
     answerWith(limitHeader("0.05"));
     askUntilItAnswered();
     answerWith({});
-    passes(25s);
+    advanceTime(25s);
     CHECK(arrivalsOf(50) <= 2);
-    passes(10s);
+    advanceTime(10s);
     CHECK(arrivalsOf(50) >= 10);
 }
 
-TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, daemon of its region that heard of it, is not asked")
+TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, reported by a daemon of its region, is sent nothing")
 {
-    onLoop([](Gateway &gateway) { gateway.applyDigest(newsOf("u1", "north")); });
+    onLoop([](Gateway &gateway) { gateway.applyDigest(limitDigestOf("u1", "north")); });
     CHECK(arrivalsOf(50) == 0);
 }
 
 TEST_CASE_FIXTURE(LimitedUpstreamFixture,
-                  "Upstream with a limit by a daemon of another region, many requests, is asked as before")
+                  "Upstream with a limit, reported by a daemon of another region, is sent requests as before")
 {
-    onLoop([](Gateway &gateway) { gateway.applyDigest(newsOf("u1", "south")); });
+    onLoop([](Gateway &gateway) { gateway.applyDigest(limitDigestOf("u1", "south")); });
     CHECK(arrivalsOf(50) >= 10);
 }
 
-TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, its next life, has named nothing")
+TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, next incarnation, has no limit")
 {
     answerWith(limitHeader("0.05"));
     askUntilItAnswered();
@@ -194,7 +193,7 @@
     CHECK(arrivalsOf(50) == 50);
 }
 
-TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Limit named by a caller, many requests, concerns nobody")
+TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Limit named by a caller, many requests, is ignored")
 {
     for (unsigned count = 0; count < 20; ++count) {
         ask("/plain/a", "caller" + std::to_string(count), limitHeader("0.05"));
@@ -202,9 +201,9 @@
     CHECK(arrivalsOf(50) >= 10);
 }
 
-TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, what other regions are told, is no capacity")
+TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, digests for other regions, do not count it as capacity")
 {
-    const auto told = [this] {
+    const auto announcedUpstreams = [this] {
         unsigned upstreams = 0;
         onLoop([&upstreams](Gateway &gateway) {
             for (const Wire::LoadDigestT &digest : gateway.digests(DigestReach::OtherRegions)) {
@@ -215,26 +214,26 @@
         });
         return upstreams;
     };
-    CHECK(told() == 2);
+    CHECK(announcedUpstreams() == 2);
     answerWith(limitHeader("40"));
     askUntilItAnswered();
-    passes(5s);
-    CHECK(told() == 1);
+    advanceTime(5s);
+    CHECK(announcedUpstreams() == 1);
 }
 
-TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, owner of it that fell silent, is asked by another daemon")
+TEST_CASE_FIXTURE(LimitedUpstreamFixture, "Upstream with a limit, owner that fell silent, is sent requests by another daemon")
 {
     removeUpstream("u2");
     addDaemonRankedFirst("u1");
-    passes(2s);
+    advanceTime(2s);
     answerWith(limitHeader("0.5"));
     CHECK(askOnce().status == 200);
     CHECK(askOnce().status == 503);
-    // Its record stands, but nothing was heard of it since it was listed.
-    passes(10s);
+    // The record of the owner remains, but no digest of the owner has arrived since it was listed.
+    advanceTime(10s);
     onLoop([](Gateway &gateway) { gateway.tick(); });
-    passes(4s);
+    advanceTime(4s);
     CHECK(askOnce().status == 503);
-    passes(4s);
+    advanceTime(4s);
     CHECK(askOnce().status == 200);
 }
--- a/tests/gateway/upstream_notice_tests.cpp
+++ b/tests/gateway/upstream_notice_tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 portpaddle contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Upstreams that say in their answers that they leave, or for how long they want nothing from this daemon.
+// Upstreams that announce in their answers that they are leaving, or request a pause by Retry-After.
 
 #include "support/gateway_site.h"
 #include "support/moving_engines.h"
@@ -21,26 +21,26 @@
 
 namespace {
 
-constexpr const char *leaves = "X-Upstream-Leaving: 1\r\n";
-constexpr unsigned many = 20;
+constexpr const char *leavingHeader = "X-Upstream-Leaving: 1\r\n";
+constexpr unsigned requestCount = 20;
 
 std::string retryAfter(const std::string &value)
 {
     return "Retry-After: " + value + "\r\n";
 }
 
-std::string answerOf(const std::string &status, const std::string &lines)
+std::string answerOf(const std::string &status, const std::string &headers)
 {
-    return "HTTP/1.1 " + status + "\r\n" + lines + "Content-Length: 0\r\n\r\n";
+    return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: 0\r\n\r\n";
 }
 
-std::string refusal(const std::string &lines)
+std::string refusal(const std::string &headers)
 {
-    return answerOf("503 Busy", "X-Not-Run: 1\r\n" + lines);
+    return answerOf("503 Busy", "X-Not-Run: 1\r\n" + headers);
 }
 
-/// Three seconds from now in the form of dates that HTTP prefers.
-std::string soonAsDate()
+/// Returns the time three seconds from now as an HTTP date.
+std::string httpDateSoon()
 {
     const std::time_t soon = std::chrono::system_clock::to_time_t(std::chrono::system_clock::now() + 3s);
     std::tm fields{};
@@ -50,41 +50,41 @@
     return text;
 }
 
-double returnOf(const SeenAnswer &answer)
+double retryAfterOf(const SeenAnswer &answer)
 {
     const std::string name = "Retry-After: ";
     const std::size_t at = answer.head.find(name);
     return at == std::string::npos ? -1 : std::stod(answer.head.substr(at + name.size()));
 }
 
-/// Two upstreams, of which the first is given its answers by the test.
+/// Two upstreams, the first with answers set by the test.
 class NoticesFixture : public GatewaySite
 {
 public:
     NoticesFixture()
     {
-        addUpstream("u1", telling.address());
+        addUpstream("u1", announcing.address());
         addUpstream("u2", other.address());
     }
 
-    /// From now on the daemon has lived for so much longer.
-    void passes(std::chrono::milliseconds time)
+    /// Advances the clock of the daemon by @p time.
+    void advanceTime(std::chrono::milliseconds time)
     {
-        later_.push_back(std::make_unique<Suspension>(time));
+        suspensions_.push_back(std::make_unique<Suspension>(time));
         onLoop([](Gateway &gateway) { gateway.tick(); });
     }
 
-    /// In place of whole answers; none where it is empty.
+    /// Sets the raw answer; complete answers are sent if it is empty.
     void answerWith(const std::string &bytes)
     {
         const std::lock_guard lock(mutex_);
         bytes_ = bytes;
     }
 
-    void addLines(const std::string &lines)
+    void addHeaders(const std::string &headers)
     {
         const std::lock_guard lock(mutex_);
-        lines_ = lines;
+        headers_ = headers;
     }
 
     SeenAnswer askOnce(const std::string &path = "/plain/a")
@@ -92,33 +92,33 @@
         return ask(path, "id" + std::to_string(++asked_));
     }
 
-    /// Sends requests until the upstream has answered one with what was set, and has it answer as usual from then on.
-    void askUntilTold()
+    /// Sends requests until the upstream has given the answer set, then restores its usual answers.
+    void askUntilAnswered()
     {
-        const std::size_t before = telling.seen().size();
-        for (unsigned count = 0; count < 200 && telling.seen().size() == before; ++count) {
+        const std::size_t before = announcing.seen().size();
+        for (unsigned count = 0; count < 200 && announcing.seen().size() == before; ++count) {
             askOnce();
         }
-        REQUIRE(telling.seen().size() > before);
+        REQUIRE(announcing.seen().size() > before);
         answerWith({});
-        addLines({});
+        addHeaders({});
     }
 
-    /// How many of many requests the upstream gets where there is no other one.
+    /// Returns how many of `requestCount` requests the upstream gets while there is no other one.
     std::size_t arrivals()
     {
         removeUpstream("u2");
-        const std::size_t before = telling.seen().size();
-        for (unsigned count = 0; count < many; ++count) {
+        const std::size_t before = announcing.seen().size();
+        for (unsigned count = 0; count < requestCount; ++count) {
             askOnce();
         }
-        const std::size_t got = telling.seen().size() - before;
+        const std::size_t got = announcing.seen().size() - before;
         addUpstream("u2", other.address());
         return got;
     }
 
-    /// Upstreams of the service that other regions are told of.
-    unsigned toldCapacity()
+    /// Returns the number of upstreams of the service that is announced to other regions.
+    unsigned announcedCapacity()
     {
         unsigned upstreams = 0;
         onLoop([&upstreams](Gateway &gateway) {
@@ -131,22 +131,22 @@
         return upstreams;
     }
 
-    ScriptedUpstream telling{ [this](const SeenRequest &request) {
+    ScriptedUpstream announcing{ [this](const SeenRequest &request) {
         const std::lock_guard lock(mutex_);
         const std::string id = idOf(request);
-        return ScriptedAnswer{ bytes_.empty() ? wholeAnswer(id, request.body, lines_) : bytes_ };
+        return ScriptedAnswer{ bytes_.empty() ? wholeAnswer(id, request.body, headers_) : bytes_ };
     } };
     ScriptedUpstream other{ echo };
 
 private:
     std::mutex mutex_;
     std::string bytes_;
-    std::string lines_;
+    std::string headers_;
     unsigned asked_ = 0;
-    std::vector<std::unique_ptr<Suspension>> later_;
+    std::vector<std::unique_ptr<Suspension>> suspensions_;
 };
 
-/// The only upstream answers with what the test sets.
+/// A single upstream with answers set by the test.
 class OnlyUpstreamFixture : public NoticesFixture
 {
 public:
@@ -158,172 +158,175 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that says it leaves in a whole answer, many requests, gets none")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream that announces its leaving in a complete answer, many requests, gets none")
 {
-    addLines(leaves);
-    askUntilTold();
+    addHeaders(leavingHeader);
+    askUntilAnswered();
     CHECK(arrivals() == 0);
-    for (unsigned count = 0; count < many; ++count) {
+    for (unsigned count = 0; count < requestCount; ++count) {
         CHECK(askOnce().status == 200);
     }
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that says it leaves in a refusal or a failure, many requests, gets none")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream that announces its leaving in a refusal or a failure, many requests, gets none")
 {
     SUBCASE("refusal")
     {
-        answerWith(refusal(leaves));
+        answerWith(refusal(leavingHeader));
     }
     SUBCASE("refusal without proof")
     {
-        answerWith(answerOf("503 Busy", leaves));
+        answerWith(answerOf("503 Busy", leavingHeader));
     }
     SUBCASE("own failure")
     {
-        answerWith(answerOf("500 Failed", leaves));
+        answerWith(answerOf("500 Failed", leavingHeader));
     }
-    SUBCASE("torn answer")
+    SUBCASE("truncated answer")
     {
-        answerWith("HTTP/1.1 200 OK\r\n" + std::string(leaves) + "Content-Length: 9\r\n\r\n");
+        answerWith("HTTP/1.1 200 OK\r\n" + std::string(leavingHeader) + "Content-Length: 9\r\n\r\n");
     }
     SUBCASE("late answer to another request")
     {
-        answerWith(wholeAnswer("other", "", leaves) + refusal({}));
+        answerWith(wholeAnswer("other", "", leavingHeader) + refusal({}));
     }
-    askUntilTold();
+    askUntilAnswered();
     CHECK(arrivals() == 0);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that says it leaves in the head of a stream, many requests, gets none")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream that announces its leaving in the head of a stream, many requests, gets none")
 {
-    const std::string head = "HTTP/1.1 200 OK\r\nX-Signature: s\r\n" + std::string(leaves) + "Transfer-Encoding: chunked\r\n\r\n";
+    const std::string head
+        = "HTTP/1.1 200 OK\r\nX-Signature: s\r\n" + std::string(leavingHeader) + "Transfer-Encoding: chunked\r\n\r\n";
     answerWith(head + eventChunk(1, 2) + lastChunk);
-    const std::size_t before = telling.seen().size();
-    for (unsigned count = 0; count < 200 && telling.seen().size() == before; ++count) {
+    const std::size_t before = announcing.seen().size();
+    for (unsigned count = 0; count < 200 && announcing.seen().size() == before; ++count) {
         askOnce("/stream/a");
     }
     answerWith({});
     CHECK(arrivals() == 0);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that says it leaves, older record that says it does not, gets none")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream that announces its leaving, older record that is not leaving, gets none")
 {
-    addLines(leaves);
-    askUntilTold();
-    addUpstream("u1", telling.address());
+    addHeaders(leavingHeader);
+    askUntilAnswered();
+    addUpstream("u1", announcing.address());
     CHECK(arrivals() == 0);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that says it leaves, record that lapses and comes back, gets none")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream that announces its leaving, record removed and added again, gets none")
 {
-    addLines(leaves);
-    askUntilTold();
+    addHeaders(leavingHeader);
+    askUntilAnswered();
     removeUpstream("u1");
-    passes(60s);
-    addUpstream("u1", telling.address());
+    advanceTime(60s);
+    addUpstream("u1", announcing.address());
     CHECK(arrivals() == 0);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream whose life is over, record that lapses and comes back, gets none")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream whose incarnation ended, record removed and added again, gets none")
 {
     answerWith("HTTP/1.1 421 Other\r\nX-Upstream: u9\r\nContent-Length: 0\r\n\r\n");
-    askUntilTold();
+    askUntilAnswered();
     removeUpstream("u1");
-    addUpstream("u1", telling.address());
+    addUpstream("u1", announcing.address());
     CHECK(arrivals() == 0);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that says it leaves, new life at its address, is asked")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream that announces its leaving, new incarnation at its address, is sent requests")
 {
-    addLines(leaves);
-    askUntilTold();
+    addHeaders(leavingHeader);
+    askUntilAnswered();
     removeUpstream("u1");
-    addUpstream("u3", telling.address());
-    CHECK(arrivals() == many);
+    addUpstream("u3", announcing.address());
+    CHECK(arrivals() == requestCount);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Answer of another life that leaves, both lives, only that one gets none")
+TEST_CASE_FIXTURE(NoticesFixture, "Answer of another incarnation that is leaving, both incarnations, get none")
 {
-    addUpstream("u3", telling.address());
+    addUpstream("u3", announcing.address());
     removeUpstream("u2");
-    answerWith("HTTP/1.1 421 Other\r\nX-Upstream: u3\r\n" + std::string(leaves) + "Content-Length: 0\r\n\r\n");
+    answerWith("HTTP/1.1 421 Other\r\nX-Upstream: u3\r\n" + std::string(leavingHeader) + "Content-Length: 0\r\n\r\n");
     askOnce();
     answerWith({});
-    // One is over and the other one leaves: nothing is left.
-    const std::size_t before = telling.seen().size();
+    // One incarnation has ended and the other one is leaving, so that no upstream is left.
+    const std::size_t before = announcing.seen().size();
     CHECK(askOnce().status == 503);
-    CHECK(telling.seen().size() == before);
+    CHECK(announcing.seen().size() == before);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Answer that names a life at another address, that life, is asked as before")
+TEST_CASE_FIXTURE(NoticesFixture,
+                  "Answer that names an incarnation at another address, that incarnation, is sent requests as before")
 {
-    answerWith("HTTP/1.1 500 Failed\r\nX-Upstream: u2\r\n" + std::string(leaves) + "Content-Length: 0\r\n\r\n");
-    askUntilTold();
+    answerWith("HTTP/1.1 500 Failed\r\nX-Upstream: u2\r\n" + std::string(leavingHeader) + "Content-Length: 0\r\n\r\n");
+    askUntilAnswered();
     removeUpstream("u1");
     const std::size_t before = other.seen().size();
-    for (unsigned count = 0; count < many; ++count) {
+    for (unsigned count = 0; count < requestCount; ++count) {
         CHECK(askOnce().status == 200);
     }
-    CHECK(other.seen().size() == before + many);
+    CHECK(other.seen().size() == before + requestCount);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Leaving said by a caller, or in words that are none, concerns nobody")
+TEST_CASE_FIXTURE(NoticesFixture, "Leaving notice, by a caller or with an invalid value, is ignored")
 {
-    addLines("X-Upstream-Leaving: 0\r\nX-Upstream-Leaving: soon\r\n");
-    askUntilTold();
-    ask("/plain/a", "caller", leaves + retryAfter("5"));
-    CHECK(arrivals() == many);
+    addHeaders("X-Upstream-Leaving: 0\r\nX-Upstream-Leaving: soon\r\n");
+    askUntilAnswered();
+    ask("/plain/a", "caller", leavingHeader + retryAfter("5"));
+    CHECK(arrivals() == requestCount);
 }
 
-TEST_CASE_FIXTURE(OnlyUpstreamFixture, "Upstreams that all said they leave, request, is refused at once with the reason")
+TEST_CASE_FIXTURE(OnlyUpstreamFixture, "Upstreams that all announced their leaving, request, is refused at once with the reason")
 {
-    addLines(leaves);
+    addHeaders(leavingHeader);
     CHECK(askOnce().status == 200);
     const SeenAnswer refused = askOnce();
     CHECK(refused.status == 503);
     CHECK(refused.body.find("leaving") != std::string::npos);
-    CHECK(telling.seen().size() == 1);
+    CHECK(announcing.seen().size() == 1);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that says it leaves, other regions, are told of no capacity there")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream that announces its leaving, digests for other regions, do not count it as capacity")
 {
-    REQUIRE(toldCapacity() == 2);
-    addLines(leaves);
-    askUntilTold();
-    CHECK(toldCapacity() == 1);
+    REQUIRE(announcedCapacity() == 2);
+    addHeaders(leavingHeader);
+    askUntilAnswered();
+    CHECK(announcedCapacity() == 1);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that asks for time, many requests, gets none until it is over")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream that sends Retry-After, many requests, gets none until the pause has passed")
 {
     answerWith(refusal(retryAfter("3")));
-    askUntilTold();
+    askUntilAnswered();
     CHECK(arrivals() == 0);
-    passes(2s);
+    advanceTime(2s);
     CHECK(arrivals() == 0);
-    passes(2s);
-    CHECK(arrivals() == many);
+    advanceTime(2s);
+    CHECK(arrivals() == requestCount);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that asks for time without proof that it did not run, many requests, gets none")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream that sends Retry-After without proof that it did not run, many requests, gets none")
 {
     answerWith(answerOf("503 Busy", retryAfter("3")));
-    askUntilTold();
+    askUntilAnswered();
     CHECK(arrivals() == 0);
-    passes(4s);
-    CHECK(arrivals() == many);
+    advanceTime(4s);
+    CHECK(arrivals() == requestCount);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that asks for time, record that lapses and comes back, gets none until it is over")
+TEST_CASE_FIXTURE(NoticesFixture,
+                  "Upstream that sends Retry-After, record removed and added again, gets none until the pause has passed")
 {
     answerWith(refusal(retryAfter("30")));
-    askUntilTold();
+    askUntilAnswered();
     removeUpstream("u1");
-    passes(5s);
-    addUpstream("u1", telling.address());
+    advanceTime(5s);
+    addUpstream("u1", announcing.address());
     CHECK(arrivals() == 0);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that asks for time, each way to write it, gets none until it is over")
+TEST_CASE_FIXTURE(NoticesFixture, "Upstream that sends Retry-After, every valid notation, gets none until the pause has passed")
 {
     std::string value;
     SUBCASE("fraction")
@@ -332,13 +335,13 @@
     }
     SUBCASE("date")
     {
-        value = soonAsDate();
+        value = httpDateSoon();
     }
     SUBCASE("an hour")
     {
         value = "3600";
     }
-    SUBCASE("longer than counts")
+    SUBCASE("more than can be represented")
     {
         value = "1" + std::string(30, '0');
     }
@@ -348,11 +351,11 @@
     }
     CAPTURE(value);
     answerWith(refusal(retryAfter(value)));
-    askUntilTold();
+    askUntilAnswered();
     CHECK(arrivals() == 0);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that asks for no time, or for none that can be read, is asked as before")
+TEST_CASE_FIXTURE(NoticesFixture, "Retry-After, zero or invalid, is ignored")
 {
     std::string value;
     SUBCASE("none")
@@ -381,70 +384,71 @@
     }
     CAPTURE(value);
     answerWith(refusal(retryAfter(value)));
-    askUntilTold();
-    CHECK(arrivals() == many);
+    askUntilAnswered();
+    CHECK(arrivals() == requestCount);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstream that asks for time with another status, many requests, is asked as before")
+TEST_CASE_FIXTURE(NoticesFixture, "Retry-After with another status, many requests, is ignored")
 {
     answerWith(answerOf("500 Failed", retryAfter("30")));
-    askUntilTold();
-    passes(5s);
-    CHECK(arrivals() == many);
+    askUntilAnswered();
+    advanceTime(5s);
+    CHECK(arrivals() == requestCount);
 }
 
 TEST_CASE_FIXTURE(OnlyUpstreamFixture,
-                  "Upstreams that all ask for time, requests, are refused at once until the first may be asked")
+                  "Upstreams that all send Retry-After, requests, are refused at once until the first pause has passed")
 {
     answerWith(refusal(retryAfter("30")));
     for (unsigned count = 0; count < 10; ++count) {
         const SeenAnswer refused = askOnce();
         CHECK(refused.status == 503);
-        CHECK(returnOf(refused) >= 29);
+        CHECK(retryAfterOf(refused) >= 29);
     }
-    CHECK(telling.seen().size() == 1);
+    CHECK(announcing.seen().size() == 1);
 }
 
-TEST_CASE_FIXTURE(OnlyUpstreamFixture, "Upstreams that all ask for time, callers, are told times that differ")
+TEST_CASE_FIXTURE(OnlyUpstreamFixture, "Upstreams that all send Retry-After, callers, get different times")
 {
     answerWith(refusal(retryAfter("20")));
     askOnce();
-    const double first = returnOf(askOnce());
+    const double first = retryAfterOf(askOnce());
     bool differs = false;
     for (unsigned count = 0; count < 10; ++count) {
-        differs = differs || std::abs(returnOf(askOnce()) - first) > 0.2;
+        differs = differs || std::abs(retryAfterOf(askOnce()) - first) > 0.2;
     }
     CHECK(differs);
 }
 
-TEST_CASE_FIXTURE(NoticesFixture, "Upstreams of which one asks for time and one looks ill, request, goes to the ill one alone")
+TEST_CASE_FIXTURE(NoticesFixture,
+                  "Upstreams of which one sends Retry-After and one looks unhealthy, requests, go to the unhealthy one only")
 {
     answerWith(refusal(retryAfter("30")));
-    askUntilTold();
+    askUntilAnswered();
     removeUpstream("u2");
-    ScriptedUpstream ill([](const SeenRequest &) { return ScriptedAnswer{ "", ScriptedAnswer::Then::Reset }; });
-    addUpstream("u3", ill.address());
-    const std::size_t before = telling.seen().size();
+    ScriptedUpstream unhealthy([](const SeenRequest &) { return ScriptedAnswer{ "", ScriptedAnswer::Then::Reset }; });
+    addUpstream("u3", unhealthy.address());
+    const std::size_t before = announcing.seen().size();
     for (unsigned count = 0; count < 10; ++count) {
         askOnce();
     }
-    CHECK(telling.seen().size() == before);
-    CHECK(ill.seen().size() == 10);
+    CHECK(announcing.seen().size() == before);
+    CHECK(unhealthy.seen().size() == 10);
 }
 
-TEST_CASE_FIXTURE(OnlyUpstreamFixture, "Upstream that asked for time, other region with room, gets the requests")
+TEST_CASE_FIXTURE(OnlyUpstreamFixture, "Upstream that sent Retry-After, other region with capacity, gets the requests")
 {
     ScriptedUpstream daemon(echo);
     answerWith(refusal(retryAfter("30")));
     askOnce();
     addRemoteDaemon("e1", "east", daemon.address(), keptElsewhere);
     CHECK(askOnce().status == 200);
-    CHECK(telling.seen().size() == 1);
-    CHECK(toldCapacity() == 0);
+    CHECK(announcing.seen().size() == 1);
+    CHECK(announcedCapacity() == 0);
 }
 
 TEST_CASE_FIXTURE(OnlyUpstreamFixture,
-                  "Daemon of another region that refuses with a time, upstreams of the own one, are asked as before")
+                  "Daemon of another region that refuses with Retry-After, upstreams of the own one, are sent requests as before")
 {
     ScriptedUpstream daemon(
         [](const SeenRequest &) { return ScriptedAnswer{ refusal("X-Portpaddle-Outcome: not_run\r\n" + retryAfter("30")) }; });
@@ -452,12 +456,13 @@
     CHECK(ask("/plain/a", "a1", keptElsewhere).status == 200);
     CHECK(ask("/plain/a", "a2", keptElsewhere).status == 200);
     CHECK(daemon.seen().size() >= 1);
-    CHECK(telling.seen().size() == 2);
+    CHECK(announcing.seen().size() == 2);
 }
 
-TEST_CASE_FIXTURE(MovingEngines, "Engine that says it leaves in the answer to an order, later requests, go to the other one")
+TEST_CASE_FIXTURE(MovingEngines,
+                  "Engine that announces its leaving in the answer to a move order, later requests, go to the other one")
 {
-    moveAnswer = "HTTP/1.1 200 OK\r\n" + std::string(leaves) + "Content-Length: 2\r\n\r\nh7";
+    moveAnswer = "HTTP/1.1 200 OK\r\n" + std::string(leavingHeader) + "Content-Length: 2\r\n\r\nh7";
     RawCaller caller(address());
     const std::size_t first = beginStream(caller);
     announceEnd("u" + std::to_string(first), engines[first]->address());
@@ -467,13 +472,13 @@
     addUpstream("u" + std::to_string(first), engines[first]->address());
     released = true;
     const std::size_t before = engines[first]->seen().size();
-    for (unsigned count = 0; count < many; ++count) {
+    for (unsigned count = 0; count < requestCount; ++count) {
         ask("/stream/b", "later" + std::to_string(count));
     }
     CHECK(engines[first]->seen().size() == before);
 }
 
-TEST_CASE_FIXTURE(MovingEngines, "Run that goes on at an engine that asked for time meanwhile, is not sent there")
+TEST_CASE_FIXTURE(MovingEngines, "Moved run, new engine that sent Retry-After meanwhile, is not sent there")
 {
     std::size_t first = 0;
     RawCaller caller(address());
